--- a/src/hollowrack/coordination/anti_entropy.py
+++ b/src/hollowrack/coordination/anti_entropy.py
@@ -1,14 +1,12 @@
-"""Changes that neighbours know already, for a node whose own watch gives no answer.
+"""Anti-entropy for store mirrors: fetches changes from other nodes while the own watch hangs.
 
-A watch hangs on a dead connection or source until its time-out, and after a failure comes a pause.
-Meanwhile other nodes may have heard of changes. So a node whose watch has been without an answer
-for a short while asks some others, again and again, what they know beyond its own revision. Store
-revisions order all changes, so whatever is newer may be taken from any node, however old its
-mirror is; only how old the outcome is rests on the age that the answer tells.
+A watch on a dead connection blocks until its timeout, and a backoff follows each failure. Meanwhile
+other nodes may have received changes, so a node whose watch has not answered for a short time
+polls a few neighbours for changes after its own revision. Store revisions order all changes, so
+newer changes may be applied from any node, however stale its mirror is; the age in the answer says
+how current the result is.
 
-A round takes :data:`ROUND_S`, and the time-out of a question more if one of those asked is dead.
-Without a neighbour that knows more, a node has its own watch alone, with its time-out, its pause
-and its question to a source that may be dead.
+A round takes :data:`ROUND_S`, plus the request timeout if a polled neighbour is dead.
 """
 
 import asyncio
@@ -25,27 +23,27 @@
 from hollowrack.results import ResultCode
 from hollowrack.tasks import cancel_all
 
-# Watches are short: one that is answered is heard of within 0.65 s, its wait and its pause.
+# Longer than the wait and the interval of a short watch (0.65 s).
 SILENT_S = 0.8
-# Several rounds fit the two seconds that changes have, together with the silence before them.
+# Several rounds must fit into the propagation limit of 2 s.
 ROUND_S = 0.3
-# With two neighbours a round what one of nine nodes knows is at all within about four rounds.
+# With two neighbours per round, a change reaches nine nodes within about four rounds.
 NUM_ASKED = 2
-# A neighbour whom the store answered this lately shows that it is worth asking.
+# An answer this fresh shows that the store is reachable again.
 STORE_ANSWERS_S = 0.7
-# No bound on the age of a neighbour's mirror, in seconds: revisions tell what is newer.
+# Neighbours may answer from mirrors of any age.
 ANY_AGE_S = 1e9
 
 
 class AntiEntropy:
-    """Asks neighbours for changes while a mirror's own watch is silent.
+    """Polls neighbours for changes while a mirror's own watch does not answer.
 
     Args:
-        mirrors: The mirrors, by prefix.
-        client: Asks other nodes.
-        neighbours: Returns where other nodes are reached.
-        shared: Is told how old what is known may be.
-        rng: Chooses neighbours.
+        mirrors: Mirrors to keep current, by prefix.
+        client: Sends the requests to other nodes.
+        neighbours: Returns the addresses of other nodes.
+        shared: Records the age of the answers.
+        rng: Selects the neighbours of a round.
     """
 
     def __init__(
@@ -64,11 +62,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start looking after the mirrors."""
+        """Start the periodic check."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop looking after the mirrors."""
+        """Stop the periodic check."""
         await cancel_all(self._task)
 
     async def _run(self) -> None:
@@ -80,20 +78,20 @@
                 if now_s() - mirror.last_heard_s > SILENT_S
             ]
             if silent:
-                asked = self._choose()
+                selected = self._select_neighbours()
                 await asyncio.gather(
-                    *(self._ask(address, prefix) for prefix in silent for address in asked)
+                    *(self._poll(address, prefix) for prefix in silent for address in selected)
                 )
 
-    def _choose(self) -> list[str]:
+    def _select_neighbours(self) -> list[str]:
         neighbours = list(self._neighbours())
         return self._rng.sample(neighbours, min(NUM_ASKED, len(neighbours)))
 
-    async def _ask(self, address: str, prefix: str) -> None:
-        """Ask one neighbour for what it knows beyond this node's revision."""
+    async def _poll(self, address: str, prefix: str) -> None:
+        """Fetch and apply one neighbour's changes after this node's revision."""
         mirror = self._mirrors[prefix]
         wants_listing = not mirror.is_loaded.is_set()
-        asked_s = now_s()
+        sent_s = now_s()
         answer = await self._watch(address, mirror, prefix, wants_listing)
         if answer is not None and answer.is_history_gone:
             wants_listing = True
@@ -103,11 +101,11 @@
         fault = answer.fault(wants_listing)
         if fault is not None:
             code = int(ResultCode.MESSAGE_INVALID)
-            logging.error("[%d] changes of %s from %s: %s", code, prefix, address, fault)
+            logging.error("[%d] invalid changes of %s from %s: %s", code, prefix, address, fault)
             mirror.recheck()
             return
-        self._adopt(address, prefix, answer, wants_listing)
-        self._shared.note_heard(prefix, answer.known_at_s(asked_s))
+        self._apply(address, prefix, answer, wants_listing)
+        self._shared.note_heard(prefix, answer.known_at_s(sent_s))
         if answer.age_s < STORE_ANSWERS_S:
             mirror.wake()
 
@@ -117,7 +115,7 @@
         request = WatchRequest(prefix, mirror.reached_revision, 0.0, ANY_AGE_S, wants_listing)
         return await self._client.watch(address, request)
 
-    def _adopt(self, address: str, prefix: str, answer: SharedChanges, is_listing: bool) -> None:
+    def _apply(self, address: str, prefix: str, answer: SharedChanges, is_listing: bool) -> None:
         mirror = self._mirrors[prefix]
         before = mirror.reached_revision
         if is_listing:
--- a/src/hollowrack/coordination/duty.py
+++ b/src/hollowrack/coordination/duty.py
@@ -1,11 +1,11 @@
-"""Duties: calls that one node at a time makes for all, under the leader's fencing token."""
+"""Duties: calls to the platform that only the leader makes, under its fencing token."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class DutyOutcome(Enum):
-    """What became of a call."""
+    """Outcome of a duty call."""
 
     ACCEPTED = "accepted"
     UNAVAILABLE_HERE = "what is asked for cannot be had now"
@@ -16,11 +16,11 @@
 
 @dataclass(frozen=True)
 class DutyHolder:
-    """Who makes a call.
+    """The caller of a duty call.
 
     Attributes:
-        node: The node that holds the duty.
-        fencing_token: Rises whenever the holder changes.
+        node: Name of the leader.
+        fencing_token: The leader's fencing token; it increases with every change of leader.
     """
 
     node: str
--- a/src/hollowrack/coordination/feed_http.py
+++ b/src/hollowrack/coordination/feed_http.py
@@ -1,4 +1,4 @@
-"""Watches of other nodes over HTTP."""
+"""HTTP client and route for watches of other nodes' mirrors."""
 
 import asyncio
 from dataclasses import replace
@@ -21,17 +21,17 @@
 
 
 class HttpFeedClient:
-    """Sends watches to other nodes; see :class:`hollowrack.coordination.sharing.FeedClient`.
+    """Sends watches over HTTP; see :class:`hollowrack.coordination.sharing.FeedClient`.
 
     Args:
-        session: HTTP session for nodes.
+        session: HTTP session for requests between nodes.
     """
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self._session = session
 
     async def watch(self, address: str, request: WatchRequest) -> SharedChanges | None:
-        """Return the node's answer; ``None`` if there was none in time, as the caller logs."""
+        """Return the node's answer; ``None`` if it was unreachable or did not answer in time."""
         total_s = request.wait_s + ANSWER_GRACE_S
         try:
             answer = await ask_node(self._session, address, FEED_PATH, request, total_s)
@@ -41,11 +41,11 @@
 
 
 def feed_routes(feed: MirrorFeed) -> list[Route]:
-    """Return the routes that answer other nodes' watches."""
+    """Return the HTTP routes that answer other nodes' watches."""
 
-    async def watch(asked: WatchRequest) -> SharedChanges:
-        wait_s = min(MAX_WAIT_S, max(0.0, asked.wait_s))
+    async def watch(requested: WatchRequest) -> SharedChanges:
+        wait_s = min(MAX_WAIT_S, max(0.0, requested.wait_s))
         async with asyncio.timeout(wait_s + MAX_WAIT_S):
-            return await feed.watch(replace(asked, wait_s=wait_s))
+            return await feed.watch(replace(requested, wait_s=wait_s))
 
     return [question_route(FEED_PATH, (WatchRequest,), watch)]
--- a/src/hollowrack/coordination/leadership.py
+++ b/src/hollowrack/coordination/leadership.py
@@ -1,12 +1,13 @@
-"""One leader among the nodes: whoever created the leader key under its own session.
+"""Leader election: the leader is the node that created the leader key under its own session.
 
 The revision at which the key was created is the leader's fencing token. A leader acts only while
-its session is valid by its own steady clock, and a new one waits a handover time before it acts, so
-that orders of two leaders are apart in time even where receivers do not check fencing tokens.
+its session is valid by its own monotonic clock, and a new leader waits for a handover time before
+it acts, so that the orders of two leaders do not overlap even where receivers do not check fencing
+tokens.
 
-A process that finds the key in the name of an earlier process of its own node takes it over at
-once: a node runs one process at a time, so that earlier one has ended. A second key, without a
-lease, says who led last: its node need not wait, as nobody else can have acted in between.
+If an earlier incarnation of the same node holds the key, the node takes it over at once: a node
+runs one process at a time, so the earlier one has ended. A second key without a lease names the
+last leader. That node does not need to wait, as no other can have acted in between.
 """
 
 import asyncio
@@ -29,15 +30,16 @@
 
 CAMPAIGN_PAUSE_S = 0.3
 CAMPAIGN_JITTER_S = 0.1
-# An action decided now must reach its receiver before the session can have ended.
+# An order sent now must arrive before the session can expire.
 ACTION_MARGIN_S = 0.5
 NO_HANDOVER_S = 0.0
-# The store may end a session that its holder takes for valid. The holder learns of that with its
-# next renewal, half a second later at most, and its last order is then on the way.
+# The store may revoke a session that its holder still considers valid. The holder learns of it with
+# its next renewal, up to 0.5 s later, and its last order may then be in flight.
 REVOKED_MARGIN_S = 0.6
-# The node that led last goes first, if it is there.
+# Lets the last leader campaign first.
 MIN_YIELD_S = 0.15
-# While processes start, that node may start as well, and any other would wait out the handover.
+# While processes start, the last leader may be starting too; any other node would have to wait for
+# the handover.
 STARTING_AGE_S = 3.0
 STARTING_YIELD_S = 0.8
 MAX_AGE_YIELD_S = 0.45
@@ -46,15 +48,19 @@
 
 
 class Leadership:
-    """Campaigns for the leader key and says whether this node may act as leader.
+    """Campaigns for the leader key and tells whether this node may act as leader.
 
     Args:
-        store: The coordination store.
-        session: This node's session.
-        key: The leader key.
+        store: Holds the leader key.
+        session: Session whose lease the leader key is bound to.
+        key: The leader key; ``<key>-last`` names the last leader.
         owner: This node's name and incarnation.
         handover_s: How long a new leader waits before it acts, in seconds.
         rng: Source of the jitter.
+
+    Attributes:
+        fencing_token: Revision at which this node created the leader key; ``None`` if it does not
+            lead.
     """
 
     def __init__(
@@ -72,22 +78,22 @@
         self._store = store
         self._session = session
         self._owner = owner
-        self._last: StoredItem | None = None
+        self._last_leader: StoredItem | None = None
         self._free_revision = ABSENT_REVISION
         self._wait_s = handover_s
         self._handover_s = handover_s
         self._rng = rng
         self._lease: int | None = None
-        self._acts_from_s = float("inf")
-        # Since when certainly nobody has led, on the loop's clock.
+        self._may_act_from_s = float("inf")
+        # Since when there has certainly been no leader, on the loop's clock.
         self._free_since_s = float("inf")
-        self._started_s = 0.0
+        self._start_time_s = 0.0
         self._is_free = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node holds the key for sure."""
+        """Whether this node certainly holds the leader key."""
         return (
             self.fencing_token is not None
             and self._lease == self._session.lease
@@ -100,13 +106,13 @@
         now = now_s()
         return (
             self.is_leader
-            and now >= self._acts_from_s
+            and now >= self._may_act_from_s
             and now < self._session.valid_until_s - ACTION_MARGIN_S
         )
 
     def start(self) -> None:
         """Start campaigning."""
-        self._started_s = now_s()
+        self._start_time_s = now_s()
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
@@ -115,19 +121,19 @@
         self.fencing_token = None
 
     async def resign(self) -> None:
-        """Stop campaigning and give the key up at once, for a planned stop."""
+        """Stop campaigning and remove the leader key at once, for a planned stop."""
         token = self.fencing_token
         await self.stop()
         if token is not None:
-            # Nobody needs to wait for this node: it has stopped on purpose.
+            # Without the last-leader key the next leader does not have to yield to this node.
             removes = [self.key, self.last_key]
             await self._store.transact([Condition(self.key, token)], [], removes)
 
     def note(self, item: StoredItem | None) -> None:
-        """Take in what the leader key holds, as seen by a mirror or a failed write."""
+        """Update the state of the leader key, as seen by a mirror or a failed write."""
         if item is None:
             self._free_since_s = min(self._free_since_s, now_s())
-            self._free_from(ABSENT_REVISION, self._handover_s)
+            self._set_free(ABSENT_REVISION, self._handover_s)
             return
         self._free_since_s = float("inf")
         holder = owner_in(item.value)
@@ -135,28 +141,28 @@
             return
         self.fencing_token = None
         if node_of_owner(holder) == node_of_owner(self._owner):
-            self._free_from(item.revision, NO_HANDOVER_S)
+            self._set_free(item.revision, NO_HANDOVER_S)
         else:
             self._is_free.clear()
 
     def note_last(self, item: StoredItem | None) -> None:
-        """Take in what the key of the last leader holds.
+        """Update the state of the last-leader key.
 
-        Every leader writes it. So if it has changed, somebody led after this node last saw the
-        leader key free, and whoever campaigns must have seen the change.
+        Every leader writes it. If it has changed, another node has led since this node last saw the
+        leader key free, and a campaign must be conditional on the new revision.
         """
-        if _revision_of(item) != _revision_of(self._last):
+        if _revision_of(item) != _revision_of(self._last_leader):
             self._free_since_s = now_s() if self._is_free.is_set() else float("inf")
-        self._last = item
+        self._last_leader = item
 
     @property
     def led_last(self) -> bool:
-        """Whether this node led last, in this process or an earlier one."""
-        if self._last is None:
+        """Whether this node was the last leader, in this incarnation or an earlier one."""
+        if self._last_leader is None:
             return False
-        return node_of_owner(owner_in(self._last.value)) == node_of_owner(self._owner)
+        return node_of_owner(owner_in(self._last_leader.value)) == node_of_owner(self._owner)
 
-    def _free_from(self, revision: int, wait_s: float) -> None:
+    def _set_free(self, revision: int, wait_s: float) -> None:
         self._free_revision = revision
         self._wait_s = wait_s
         self._is_free.set()
@@ -165,29 +171,31 @@
         while True:
             await self._is_free.wait()
             if not self.led_last:
-                await asyncio.sleep(self._yield_s() + self._rng.uniform(0, CAMPAIGN_JITTER_S))
+                await asyncio.sleep(
+                    self._campaign_delay_s() + self._rng.uniform(0, CAMPAIGN_JITTER_S)
+                )
             if self._is_free.is_set() and self._session.is_valid:
                 await self._campaign()
             await asyncio.sleep(CAMPAIGN_PAUSE_S)
 
-    def _yield_s(self) -> float:
-        """How long to let others go first, in seconds.
+    def _campaign_delay_s(self) -> float:
+        """Delay before campaigning, in seconds; it grows with the age of the process.
 
-        Young processes go first: while machines are stopped and started in turn, those that have
-        just started are not the next to be stopped. Only the node that led last goes before them.
+        During a rolling restart the youngest processes are the last to be stopped again, so they
+        make the most stable leaders. Only the last leader campaigns earlier.
         """
-        age_s = now_s() - self._started_s
-        yield_s = MIN_YIELD_S + MAX_AGE_YIELD_S * min(1.0, age_s / OLD_AGE_S)
-        is_starting = self._last is not None and age_s < STARTING_AGE_S
-        return yield_s + STARTING_YIELD_S if is_starting else yield_s
+        age_s = now_s() - self._start_time_s
+        delay_s = MIN_YIELD_S + MAX_AGE_YIELD_S * min(1.0, age_s / OLD_AGE_S)
+        is_starting = self._last_leader is not None and age_s < STARTING_AGE_S
+        return delay_s + STARTING_YIELD_S if is_starting else delay_s
 
     async def _campaign(self) -> None:
         lease = self._session.lease
         if lease is None:
             return
-        last_revision = _revision_of(self._last)
+        last_revision = _revision_of(self._last_leader)
         must_wait = not self.led_last and self._wait_s > NO_HANDOVER_S
-        # The last leader has not acted long after its key was seen to be gone.
+        # The handover counts from when the key was seen to be gone, not from the campaign.
         free_since_s = min(self._free_since_s, now_s())
         outcome = await self._store.transact(
             [Condition(self.key, self._free_revision), Condition(self.last_key, last_revision)],
@@ -197,26 +205,26 @@
             acts_from_s = now_s()
             if must_wait:
                 acts_from_s = free_since_s + self._wait_s + REVOKED_MARGIN_S
-            self._win(lease, outcome.revision, acts_from_s)
+            self._become_leader(lease, outcome.revision, acts_from_s)
         elif isinstance(outcome, Conflict):
-            self._note_conflict(lease, outcome)
+            self._process_conflict(lease, outcome)
 
-    def _note_conflict(self, lease: int, outcome: Conflict) -> None:
+    def _process_conflict(self, lease: int, outcome: Conflict) -> None:
         current = {item.key: item for item in outcome.current}
         self.note_last(current.get(self.last_key))
         item = current.get(self.key)
-        # A lost answer of an earlier attempt shows as a key that already names this process.
+        # An earlier attempt whose answer was lost may have succeeded.
         if item is not None and owner_in(item.value) == self._owner and item.lease == lease:
-            self._win(lease, item.revision, now_s() + self._handover_s)
+            self._become_leader(lease, item.revision, now_s() + self._handover_s)
         else:
             self.note(item)
 
-    def _win(self, lease: int, revision: int, acts_from_s: float) -> None:
+    def _become_leader(self, lease: int, revision: int, acts_from_s: float) -> None:
         self._is_free.clear()
         self._free_since_s = float("inf")
         self._lease = lease
         self.fencing_token = revision
-        self._acts_from_s = acts_from_s
+        self._may_act_from_s = acts_from_s
         wait_s = max(0.0, acts_from_s - now_s())
         logging.info("leader from now on, fencing token %d, orders after %.2f s", revision, wait_s)
 
--- a/src/hollowrack/coordination/mirror.py
+++ b/src/hollowrack/coordination/mirror.py
@@ -1,13 +1,13 @@
-"""A local copy of all keys below a prefix, kept current by watching.
+"""A local copy of all keys below a prefix, kept current by watching the store.
 
-Calls to the store are paced: after an answer the mirror waits before it watches again, so that
-changes in quick succession cost one call.
+The rate of calls is limited: after an answer the mirror waits before it watches again, so changes
+in quick succession cost one call.
 
-A watch may miss changes without a sign: the store drops its history while the watch hears nothing,
-or the watch waits on a connection whose other end is gone. Only a new watch shows this. One mirror,
-the sentinel, therefore watches briefly and again and again; after a dropped history, a late answer
-or a failure it has the mirrors of other prefixes list again. While the store fails, mirrors ask it
-less and less often, the sentinel still within the time that changes have.
+A watch may miss changes without an error: the store compacts its history meanwhile, or the
+connection is half open. Only a new watch detects this. One mirror, the sentinel, therefore uses
+short watches; after a compacted history, a late answer or a failure it has the mirrors of other
+prefixes list again. While the store fails, mirrors back off; the sentinel's backoff stays below the
+propagation limit of changes.
 """
 
 import asyncio
@@ -32,34 +32,40 @@
 from hollowrack.observability.line_limit import LineLimit
 from hollowrack.tasks import cancel_all
 
-# Shorter than the history that the store keeps, so that a quiet watch can go on from its revision.
+# Shorter than the store's history retention, so that an idle watch can resume from its revision.
 WATCH_WAIT_S = 15.0
 FIRST_RETRY_PAUSE_S = 0.4
-# A store that answers again must be found well inside the time that changes have.
+# Well below the propagation limit of changes.
 MAX_RETRY_PAUSE_S = 1.2
-# A mirror that its sentinel wakes need not look for itself.
+# The sentinel ends the backoff of such a mirror when the store answers again.
 MAX_RESTING_PAUSE_S = 4.0
 LATE_ANSWER_S = 0.5
 MAX_HISTORY = 512
-# A key is another writer's text; the store takes longer ones than a log line should hold.
+# Keys are written by other programs and may be very long.
 MAX_LOGGED_KEY_LENGTH = 200
 
 OnChange = Callable[[str, StoredItem | None], None]
 
 
 class PrefixMirror:
-    """Keeps the keys below one prefix and reports each change.
+    """Mirrors the keys below one prefix and reports each change.
 
     Args:
-        store: The coordination store.
-        prefix: Which keys.
-        on_change: Called with each key that was written, or removed (``None``).
-        pace_s: Least time between two calls, in seconds.
+        store: Store to list and watch.
+        prefix: Prefix of the mirrored keys.
+        on_change: Called with each key and its new item, or ``None`` if it was removed.
+        pace_s: Minimum interval between two calls to the store, in seconds.
         rng: Source of the retry jitter.
         watch_wait_s: Longest wait of one watch, in seconds.
         on_doubt: Called when other watches may have missed changes; for the sentinel.
         rests_on_sentinel: Whether a sentinel has this mirror list again after failures.
-        starts_after: Set once the first listing may begin; ``None`` for at once.
+        starts_after: Set once the first listing may begin; ``None`` to begin at once.
+
+    Attributes:
+        items: The mirrored keys.
+        is_loaded: Set after the first listing.
+        last_heard_s: When the store last answered, on the loop's clock.
+        reached_revision: Store revision up to which all changes are applied.
     """
 
     def __init__(
@@ -84,30 +90,30 @@
         self._store = store
         self._prefix = prefix
         self._on_change = on_change
-        self._pace_s = pace_s
+        self._min_interval_s = pace_s
         self._watch_wait_s = watch_wait_s
-        self._on_doubt = on_doubt
+        self._on_suspected_gap = on_doubt
         self._starts_after = starts_after
-        max_pause_s = MAX_RESTING_PAUSE_S if rests_on_sentinel else MAX_RETRY_PAUSE_S
-        self._backoff = Backoff(FIRST_RETRY_PAUSE_S, max_pause_s, rng)
-        self._must_wake = asyncio.Event()
-        self._is_in_doubt = False
-        self._must_list = False
-        self._watching: asyncio.Task[Changes | HistoryGone | Unavailable] | None = None
+        max_backoff_s = MAX_RESTING_PAUSE_S if rests_on_sentinel else MAX_RETRY_PAUSE_S
+        self._backoff = Backoff(FIRST_RETRY_PAUSE_S, max_backoff_s, rng)
+        self._ends_backoff = asyncio.Event()
+        self._may_have_gap = False
+        self._must_relist = False
+        self._watch_task: asyncio.Task[Changes | HistoryGone | Unavailable] | None = None
         self._task: asyncio.Task[None] | None = None
         self._is_failing = False
-        self._fault_lines = LineLimit()
+        self._error_log_limiter = LineLimit()
 
     def start(self) -> None:
-        """Start following the store."""
+        """Start listing and watching."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop following the store."""
+        """Stop watching; the mirrored keys stay."""
         await cancel_all(self._task)
 
     def changes_after(self, revision: int) -> list[KeyChange] | None:
-        """Return the changes behind a store revision; ``None`` if they are no longer kept."""
+        """Return the changes after a store revision; ``None`` if they are no longer kept."""
         if revision < self._history_from:
             return None
         return [change for change in self._history if change.revision > revision]
@@ -122,166 +128,166 @@
             return
 
     def recheck(self) -> None:
-        """List again now: what the watch has heard may not be all."""
-        self._must_list = True
-        self._must_wake.set()
-        if self._watching is not None:
-            self._watching.cancel()
+        """List all keys again now, as the watch may have missed changes."""
+        self._must_relist = True
+        self._ends_backoff.set()
+        if self._watch_task is not None:
+            self._watch_task.cancel()
 
     def wake(self) -> None:
-        """End a pause after a failure: the store answers again."""
-        self._must_wake.set()
+        """End the backoff after a failure, as the store answers again."""
+        self._ends_backoff.set()
 
     def rewatch(self) -> None:
-        """Begin the present watch anew, from the same revision."""
-        self._must_wake.set()
-        if self._watching is not None:
-            self._watching.cancel()
+        """Restart the current watch from the same revision."""
+        self._ends_backoff.set()
+        if self._watch_task is not None:
+            self._watch_task.cancel()
 
     def adopt(self, changes: Changes) -> None:
-        """Take in the changes behind the revision reached, heard of elsewhere than by the watch."""
+        """Apply changes after the reached revision that were learned from another node."""
         if self.is_loaded.is_set() and changes.revision > self.reached_revision:
-            self._take(changes)
+            self._apply_newer(changes)
             self.rewatch()
 
     def adopt_listing(self, listing: Listing) -> None:
-        """Take in all keys of a newer revision than the one reached, heard of elsewhere."""
+        """Apply a listing that was learned from another node, if its revision is newer."""
         if not self.is_loaded.is_set() or listing.revision > self.reached_revision:
-            self._replace(listing)
+            self._replace_all(listing)
             self.rewatch()
 
     async def _run(self) -> None:
         if self._starts_after is not None:
             await self._starts_after.wait()
         while True:
-            if await self._step_whatever_happens():
+            if await self._step_safely():
                 self._backoff.reset()
-                await asyncio.sleep(self._pace_s)
+                await asyncio.sleep(self._min_interval_s)
             else:
-                await self._pause_after_failure()
+                await self._back_off()
 
-    async def _pause_after_failure(self) -> None:
-        """Pause before the next attempt, unless there is a sign that it may succeed."""
-        self._must_wake.clear()
+    async def _back_off(self) -> None:
+        """Back off before the next attempt, unless :meth:`wake` ends the backoff."""
+        self._ends_backoff.clear()
         try:
             async with asyncio.timeout(self._backoff.next_pause_s()):
-                await self._must_wake.wait()
+                await self._ends_backoff.wait()
         except TimeoutError:
             return
 
-    async def _step_whatever_happens(self) -> bool:
-        """List or watch once; a fault counts as no answer, so that the mirror goes on."""
+    async def _step_safely(self) -> bool:
+        """List or watch once; an exception counts as a failed call, so that the mirror goes on."""
         try:
             return await self._step()
         except Exception:
-            if self._fault_lines.allows():
-                logging.exception("mirror of %s: an answer could not be taken in", self._prefix)
+            if self._error_log_limiter.allows():
+                logging.exception("mirror of %s: failed to process an answer", self._prefix)
             return False
 
     async def _step(self) -> bool:
         """List or watch once; returns whether there was an answer."""
-        if not self.is_loaded.is_set() or self._must_list:
+        if not self.is_loaded.is_set() or self._must_relist:
             return await self._list()
         sent_s = now_s()
         revision = self.reached_revision
         changes = await self._watch(revision)
         if changes is None:
-            return await self._list() if self._must_list else True
+            return await self._list() if self._must_relist else True
         if now_s() - sent_s > self._watch_wait_s + LATE_ANSWER_S:
-            self._is_in_doubt = True
+            self._may_have_gap = True
         if isinstance(changes, HistoryGone):
-            logging.info("history of %s is gone: listing again", self._prefix)
-            self._is_in_doubt = True
+            logging.info("history of %s was compacted: listing again", self._prefix)
+            self._may_have_gap = True
             return await self._list()
         if not isinstance(changes, Changes):
-            self._note_failure(changes)
+            self._record_failure(changes)
             return False
-        self._note_heard()
-        # What was adopted meanwhile is newer than the revision that this answer begins at.
+        self._record_answer()
+        # Otherwise newer changes were applied meanwhile, and the answer does not continue them.
         if revision == self.reached_revision:
-            self._take(changes)
+            self._apply_newer(changes)
         return True
 
     async def _watch(self, revision: int) -> Changes | HistoryGone | Unavailable | None:
-        """Watch once; ``None`` if the watch is to begin anew."""
-        # A store that may be back says so at once, and a silent one costs less time.
+        """Watch once; ``None`` if the watch was cancelled to be restarted."""
+        # Without a wait a recovered store answers at once, and a silent one times out earlier.
         wait_s = 0.0 if self._is_failing else self._watch_wait_s
         watch = self._store.watch(self._prefix, revision, wait_s)
-        self._watching = asyncio.create_task(watch)
+        self._watch_task = asyncio.create_task(watch)
         try:
-            return await self._watching
+            return await self._watch_task
         except asyncio.CancelledError:
             task = asyncio.current_task()
             if task is not None and task.cancelling():
-                self._watching.cancel()
+                self._watch_task.cancel()
                 raise
             return None
         finally:
-            self._watching = None
+            self._watch_task = None
 
     async def _list(self) -> bool:
-        listed = await self._store.list_prefix(self._prefix)
-        if not isinstance(listed, Listing):
-            self._note_failure(listed)
+        listing = await self._store.list_prefix(self._prefix)
+        if not isinstance(listing, Listing):
+            self._record_failure(listing)
             return False
-        self._note_heard()
-        # It may have been made before what was adopted meanwhile: then it is asked for again.
-        if not self.is_loaded.is_set() or listed.revision >= self.reached_revision:
-            self._must_list = False
-            self._replace(listed)
+        self._record_answer()
+        # A listing older than the changes applied meanwhile is discarded and requested again.
+        if not self.is_loaded.is_set() or listing.revision >= self.reached_revision:
+            self._must_relist = False
+            self._replace_all(listing)
         return True
 
-    def _take(self, changes: Changes) -> None:
+    def _apply_newer(self, changes: Changes) -> None:
         newer = [change for change in changes.items if self._is_newer(change)]
         for change in sorted(newer, key=lambda change: change.revision):
             self._apply(change)
-            self._remember(change)
-        self._reach(max(self.reached_revision, changes.revision), bool(newer))
+            self._append_history(change)
+        self._advance_to(max(self.reached_revision, changes.revision), bool(newer))
 
     def _is_newer(self, change: KeyChange) -> bool:
-        """Whether a change is newer than what is known of its key.
+        """Whether a change is newer than the known state of its key.
 
-        All changes up to the revision reached are known, and a listing may hold some newer ones.
-        Without this a removal undoes the entry that came after it.
+        All changes up to the reached revision are known, and a listing may contain newer ones.
+        Without this check an old removal would delete a key that was written again after it.
         """
         known = self.items.get(change.key)
         known_revision = 0 if known is None else known.revision
         return change.revision > max(self.reached_revision, known_revision)
 
-    def _remember(self, change: KeyChange) -> None:
+    def _append_history(self, change: KeyChange) -> None:
         if len(self._history) == MAX_HISTORY:
             self._history_from = max(self._history_from, self._history[0].revision)
         self._history.append(change)
 
-    def _reach(self, revision: int, has_changed: bool) -> None:
+    def _advance_to(self, revision: int, has_changed: bool) -> None:
         self.reached_revision = revision
         if has_changed:
             self._changed.set()
             self._changed = asyncio.Event()
 
-    def _note_heard(self) -> None:
+    def _record_answer(self) -> None:
         self.last_heard_s = now_s()
         if self._is_failing:
             logging.info("coordination store answers again for %s", self._prefix)
         self._is_failing = False
-        if self._is_in_doubt and self._on_doubt is not None:
-            self._on_doubt()
-        self._is_in_doubt = False
+        if self._may_have_gap and self._on_suspected_gap is not None:
+            self._on_suspected_gap()
+        self._may_have_gap = False
 
-    def _note_failure(self, failure: object) -> None:
-        self._is_in_doubt = True
+    def _record_failure(self, failure: object) -> None:
+        self._may_have_gap = True
         if not self._is_failing:
             logging.warning("coordination store fails for %s: %s", self._prefix, failure)
         self._is_failing = True
 
-    def _replace(self, listing: Listing) -> None:
+    def _replace_all(self, listing: Listing) -> None:
         present = {item.key for item in listing.items}
-        gone = [
+        removed = [
             RemovedKey(key, listing.revision)
             for key, item in self.items.items()
             if key not in present and item.revision <= listing.revision
         ]
-        for change in gone:
+        for change in removed:
             self._apply(change)
         for item in listing.items:
             known = self.items.get(item.key)
@@ -290,27 +296,27 @@
         self.is_loaded.set()
         self._history.clear()
         self._history_from = listing.revision
-        self._reach(listing.revision, True)
+        self._advance_to(listing.revision, True)
 
     def _apply(self, change: KeyChange) -> None:
         if isinstance(change, RemovedKey):
             self.items.pop(change.key, None)
-            self._tell(change.key, None)
+            self._notify(change.key, None)
         else:
             self.items[change.key] = change
-            self._tell(change.key, change)
+            self._notify(change.key, change)
 
-    def _tell(self, key: str, item: StoredItem | None) -> None:
-        """Report one change; a fault over one key must not keep the others from the listener."""
+    def _notify(self, key: str, item: StoredItem | None) -> None:
+        """Report one change; an exception over one key must not suppress the other changes."""
         try:
             self._on_change(key, item)
         except Exception:
-            if self._fault_lines.allows():
+            if self._error_log_limiter.allows():
                 logging.exception(
-                    "mirror of %s: the change of key %.*a was not taken in (%d such lines left "
-                    "out before)",
+                    "mirror of %s: failed to process the change of key %.*a (%d earlier messages "
+                    "suppressed)",
                     self._prefix,
                     MAX_LOGGED_KEY_LENGTH,
                     key,
-                    self._fault_lines.take_left_out(),
+                    self._error_log_limiter.take_left_out(),
                 )
--- a/src/hollowrack/coordination/mirror_feed.py
+++ b/src/hollowrack/coordination/mirror_feed.py
@@ -1,4 +1,4 @@
-"""Answers other nodes' watches from a node's own mirrors."""
+"""Server side of watches between nodes, answered from a node's own mirrors."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 from hollowrack.coordination.mirror import PrefixMirror
 from hollowrack.coordination.watch_messages import SharedChange, SharedChanges, WatchRequest
 
-# How often a held watch looks whether its mirror has become too old to answer it.
+# How often a pending watch checks whether its mirror has become too stale to answer it.
 FRESHNESS_CHECK_S = 0.3
 
 
@@ -15,8 +15,8 @@
 
     Args:
         mirrors: Mirrors by prefix.
-        heard_s: Returns when the store last answered this node, or one that it learnt from, about
-            a prefix, on the loop's clock.
+        heard_s: Returns when the store last answered about a prefix, to this node or to its source,
+            on the loop's clock.
     """
 
     def __init__(self, mirrors: dict[str, PrefixMirror], heard_s: Callable[[str], float]) -> None:
@@ -24,40 +24,40 @@
         self._heard_s = heard_s
 
     async def watch(self, request: WatchRequest) -> SharedChanges:
-        """Answer as soon as there is a change, or when the time is up; a listing at once."""
-        began_s = now_s()
+        """Answer at the first change or after ``request.wait_s``; answer a listing at once."""
+        received_s = now_s()
         mirror = self._mirrors.get(request.prefix)
         if mirror is None or not self._is_fresh(mirror, request):
             return SharedChanges(is_stale=True)
         if request.wants_listing:
             items = tuple(SharedChange.of(item) for item in mirror.items.values())
-            return self._answer(items, mirror, request, began_s)
-        end_s = began_s + request.wait_s
-        found = mirror.changes_after(request.after_revision)
-        while found == [] and now_s() < end_s:
+            return self._answer(items, mirror, request, received_s)
+        end_s = received_s + request.wait_s
+        pending = mirror.changes_after(request.after_revision)
+        while pending == [] and now_s() < end_s:
             await mirror.wait_for_change(min(FRESHNESS_CHECK_S, end_s - now_s()))
             if not self._is_fresh(mirror, request):
                 return SharedChanges(is_stale=True)
-            found = mirror.changes_after(request.after_revision)
-        if found is None:
+            pending = mirror.changes_after(request.after_revision)
+        if pending is None:
             return SharedChanges(is_history_gone=True)
-        changes = tuple(SharedChange.of(change) for change in found)
-        return self._answer(changes, mirror, request, began_s)
+        changes = tuple(SharedChange.of(change) for change in pending)
+        return self._answer(changes, mirror, request, received_s)
 
     def _answer(
         self,
         changes: tuple[SharedChange, ...],
         mirror: PrefixMirror,
         request: WatchRequest,
-        began_s: float,
+        received_s: float,
     ) -> SharedChanges:
         return SharedChanges(
             changes,
             mirror.reached_revision,
             age_s=now_s() - self._heard_s(request.prefix),
-            held_s=now_s() - began_s,
+            held_s=now_s() - received_s,
         )
 
     def _is_fresh(self, mirror: PrefixMirror, request: WatchRequest) -> bool:
-        is_young = now_s() - self._heard_s(request.prefix) <= request.max_age_s
-        return is_young and mirror.is_loaded.is_set()
+        is_recent = now_s() - self._heard_s(request.prefix) <= request.max_age_s
+        return is_recent and mirror.is_loaded.is_set()
--- a/src/hollowrack/coordination/record.py
+++ b/src/hollowrack/coordination/record.py
@@ -1,6 +1,7 @@
-"""One record in the coordination store that is only replaced as it was last seen.
+"""A typed record in the coordination store, replaced by compare-and-swap.
 
-Whoever replaces it names the revision it has seen, so two writers never build on the same record.
+Every write is conditional on the revision that the writer has seen, so concurrent writers cannot
+overwrite each other.
 """
 
 from collections.abc import Callable
@@ -27,16 +28,16 @@
 
 
 class Record(Generic[Value]):
-    """A typed record, as this node has seen it last.
+    """A typed record and its newest value known to this node.
 
     Args:
-        store: The coordination store.
-        key: Its key.
-        kind: Type of its value, a registered message.
+        store: Holds the record.
+        key: The record's key.
+        kind: Type of the value, a registered message.
         on_change: Called with each newer value.
 
     Attributes:
-        value: The newest value seen; ``None`` if there is none yet.
+        value: The newest value seen; ``None`` if none has been seen yet.
     """
 
     def __init__(
@@ -52,13 +53,13 @@
         self._kind = kind
         self._on_change = on_change
         self._revision = ABSENT_REVISION
-        # Whether a write of this node may have been done without its knowledge.
-        self._is_unsure = False
+        # Whether the outcome of this node's last write is unknown.
+        self._is_write_unknown = False
 
     def take(self, item: StoredItem | None) -> None:
-        """Take in what the store holds, as a mirror or a failed write shows it.
+        """Update from the stored item, as seen by a mirror or a failed write.
 
-        The value outlives its key: what was decided stays so, and the next write names no revision.
+        If the key was removed, the value is kept and the next write must create the key.
         """
         if item is None:
             self._revision = ABSENT_REVISION
@@ -67,7 +68,7 @@
             return
         decoded = codec.decode(item.value)
         if isinstance(decoded, Failure) or not isinstance(decoded.unwrap(), self._kind):
-            detail = "it is no record of its kind, and is not replaced."
+            detail = "the value is not a record of the expected type and is not replaced."
             logging.error("%s", Problem(ResultCode.ENTRY_UNREADABLE, detail, self._key))
             return
         self._revision = item.revision
@@ -75,17 +76,17 @@
         self._on_change(decoded.unwrap())
 
     async def is_known(self) -> bool:
-        """Whether the newest value may be built upon; reads it if a write's outcome is unknown."""
-        if self._is_unsure:
+        """Read the record if a write's outcome is unknown; returns whether the value is current."""
+        if self._is_write_unknown:
             item = await self._store.get(self._key)
             if isinstance(item, NotDone | Unknown):
                 return False
             self.take(item)
-            self._is_unsure = False
+            self._is_write_unknown = False
         return True
 
     async def replace(self, value: Value) -> bool:
-        """Replace the value that was seen last; returns whether that is certain."""
+        """Replace the newest value seen; returns whether that certainly succeeded."""
         encoded = codec.encode(value)
         condition = Condition(self._key, self._revision)
         outcome = await self._store.transact([condition], [Put(self._key, encoded)])
@@ -95,7 +96,7 @@
         if isinstance(outcome, Conflict):
             self.take(next(iter(outcome.current), None))
         else:
-            # It may be done, or be done later: it is looked for before another attempt.
-            self._is_unsure = isinstance(outcome, Unknown)
+            # The write may have been applied or may be applied later; it is read before a retry.
+            self._is_write_unknown = isinstance(outcome, Unknown)
         logging.warning("record %s: not replaced, %s", self._key, type(outcome).__name__)
         return False
--- a/src/hollowrack/coordination/relay.py
+++ b/src/hollowrack/coordination/relay.py
@@ -1,12 +1,12 @@
-"""Calls to the store by way of another node, for a node that the store does not serve.
+"""Relaying of store calls through other nodes, for a node that cannot reach the store.
 
-A relayed call is the same call: the same conditions, the same lease, and an outcome that is as
-certain as a direct one. What may not be sent twice is not: a write without an answer stays
-unknown, whichever way it went. The node that relays asks the store directly and never passes a
-call on, so no call goes in a circle.
+A relayed call has the same conditions, the same lease and the same guarantees as a direct one. A
+write without an answer is never sent again: its outcome is unknown, whether it was direct or
+relayed. The relaying node calls the store directly and never forwards a call, so there are no
+loops.
 
-When the store fails everybody, relaying finds nothing better: each such attempt doubles the pause
-before the next.
+If the store is down for all nodes, relaying fails as well; the backoff then doubles with each
+attempt.
 """
 
 import asyncio
@@ -38,18 +38,16 @@
 )
 from hollowrack.messages.codec import message
 
-# After a direct call failed, reads go by way of other nodes first for this long, then one of them
-# finds out; a cut from the store lasts some seconds.
+# For this long after a direct call failed, reads are relayed first; then one tries the store again.
 FIRST_RELAY_PERIOD_S = 1.0
 MAX_RELAY_PERIOD_S = 4.0
-# Leases last 2 s: what keeps or opens one is not waited for longer than this before it goes by way
-# of another node. A slow store answers in a quarter of a second.
+# Leaves time to relay a renewal within the lease's 2 s; a slow store answers within 0.25 s.
 LEASE_PATIENCE_S = 0.5
-# Nodes that refuse say so at once; one that is silent ends the attempt.
 MAX_NODES_ASKED = 2
-# After relaying found nothing better, for every call or for one node.
+# Backoff of relaying after a failed attempt.
 FIRST_RELAY_PAUSE_S = 0.5
 MAX_RELAY_PAUSE_S = 4.0
+# Time for which a node that failed to relay is not asked again.
 NODE_PAUSE_S = 2.0
 
 
@@ -82,7 +80,7 @@
 @message("store.write")
 @dataclass(frozen=True)
 class RelayedWrite:
-    """Do all writes if all conditions hold."""
+    """Apply all writes if all conditions hold."""
 
     conditions: tuple[Condition, ...]
     puts: tuple[Put, ...]
@@ -128,23 +126,23 @@
 
 
 class RelayClient(Protocol):
-    """Sends calls to other nodes."""
+    """Sends store calls to other nodes."""
 
     async def relay(self, address: str, call: RelayedCall) -> RelayedOutcome:
-        """Have a node make a call.
+        """Have the node at an address make a call.
 
         Returns:
-            What the store said. ``NotDone`` if the node was not reached, ``Unknown`` if it was and
-            gave no answer.
+            The store's answer; ``NotDone`` if the node could not be reached, ``Unknown`` if it was
+            reached but did not answer.
         """
 
 
 async def make_relayed_call(store: CoordinationStore, call: RelayedCall) -> RelayedOutcome:
-    """Make another node's call at the store.
+    """Execute another node's call.
 
     Args:
         store: Direct access to the store.
-        call: The call.
+        call: The call to execute.
     """
     match call:
         case RelayedGet(key):
@@ -162,16 +160,16 @@
 
 
 class RelayingStore:
-    """The store, reached by way of other nodes while it does not serve this one.
+    """A store whose calls are relayed through other nodes while direct calls fail.
 
     Args:
         store: Direct access to the store.
         client: Sends calls to other nodes.
-        nodes: Returns the addresses of nodes that may relay, in the order of preference.
+        nodes: Returns the addresses of nodes that may relay, in order of preference.
         rng: Source of the jitter.
 
     Attributes:
-        direct_failure_listeners: Called when direct calls begin to fail and others may relay them.
+        direct_failure_listeners: Called when direct calls begin to fail and relaying is possible.
     """
 
     def __init__(
@@ -185,32 +183,32 @@
         self._client = client
         self._nodes = nodes
         self._direct_calls_fail = False
-        self._relays_first_until_s = -float("inf")
-        self._relay_periods = Backoff(FIRST_RELAY_PERIOD_S, MAX_RELAY_PERIOD_S, rng)
-        self._relays_from_s = -float("inf")
-        self._node_from_s: dict[str, float] = {}
-        self._attempts = Backoff(FIRST_RELAY_PAUSE_S, MAX_RELAY_PAUSE_S, rng)
+        self._relay_first_until_s = -float("inf")
+        self._relay_first_backoff = Backoff(FIRST_RELAY_PERIOD_S, MAX_RELAY_PERIOD_S, rng)
+        self._retry_relay_from_s = -float("inf")
+        self._retry_node_from_s: dict[str, float] = {}
+        self._relay_backoff = Backoff(FIRST_RELAY_PAUSE_S, MAX_RELAY_PAUSE_S, rng)
         self.direct_failure_listeners: list[Callable[[], None]] = []
 
     async def get(self, key: str) -> StoredItem | Unavailable | None:
         """Read one key."""
 
-        async def ask_directly() -> RelayedOutcome:
+        async def call_directly() -> RelayedOutcome:
             return await self._store.get(key) or Absent()
 
-        answer = await self._read(ask_directly, RelayedGet(key))
+        answer = await self._read(call_directly, RelayedGet(key))
         if isinstance(answer, Absent):
             return None
         if isinstance(answer, StoredItem | NotDone | Unknown):
             return answer
-        return _of_another_kind(answer)
+        return _unexpected_answer(answer)
 
     async def list_prefix(self, prefix: str) -> Listing | Unavailable:
         """Read all keys below a prefix."""
         answer = await self._read(lambda: self._store.list_prefix(prefix), RelayedList(prefix))
         if isinstance(answer, Listing | NotDone | Unknown):
             return answer
-        return _of_another_kind(answer)
+        return _unexpected_answer(answer)
 
     async def watch(
         self, prefix: str, after_revision: int, wait_s: float
@@ -222,50 +220,50 @@
         )
         if isinstance(answer, Changes | HistoryGone | NotDone | Unknown):
             return answer
-        return _of_another_kind(answer)
+        return _unexpected_answer(answer)
 
     async def transact(
         self, conditions: Sequence[Condition], puts: Sequence[Put], removes: Sequence[str] = ()
     ) -> WriteOutcome:
-        """Do all writes if all conditions hold; one without an answer is not sent again."""
+        """Apply all writes if all conditions hold; a call without an answer is not sent again."""
         call = RelayedWrite(tuple(conditions), tuple(puts), tuple(removes))
         answer: RelayedOutcome = NotDone("not tried")
-        # Reads find out whether the store serves this node again.
+        # Only reads probe whether direct calls work again.
         if self._direct_calls_fail and self._may_relay():
             answer = await self._relay(call)
         if isinstance(answer, NotDone):
             answer = await self._store.transact(conditions, puts, removes)
-            self._note_direct(answer)
+            self._record_direct(answer)
             if isinstance(answer, NotDone) and self._may_relay():
                 answer = await self._relay(call)
         if isinstance(answer, Committed | Conflict | LeaseGone | NotDone | Unknown):
             return answer
-        return _of_another_kind(answer)
+        return _unexpected_answer(answer)
 
     async def grant_lease(self, ttl_s: float) -> GrantedLease | Unavailable:
-        """Open a lease; one that nobody hears of ends by itself."""
+        """Open a lease; one whose grant is lost on the way expires."""
         answer = await self._read(
-            lambda: self._with_patience(self._store.grant_lease(ttl_s)), RelayedGrant(ttl_s)
+            lambda: self._with_timeout(self._store.grant_lease(ttl_s)), RelayedGrant(ttl_s)
         )
         if isinstance(answer, GrantedLease | NotDone | Unknown):
             return answer
-        return _of_another_kind(answer)
+        return _unexpected_answer(answer)
 
     async def renew_lease(self, lease: int) -> GrantedLease | LeaseGone | Unavailable:
-        """Renew a lease, by way of another node if the store does not answer soon."""
+        """Renew a lease, through another node if the store does not answer in time."""
         answer = await self._read(
-            lambda: self._with_patience(self._store.renew_lease(lease)), RelayedRenewal(lease)
+            lambda: self._with_timeout(self._store.renew_lease(lease)), RelayedRenewal(lease)
         )
         if isinstance(answer, GrantedLease | LeaseGone | NotDone | Unknown):
             return answer
-        return _of_another_kind(answer)
+        return _unexpected_answer(answer)
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease; one that the store does not hear of ends by itself."""
+        """End a lease; if the call fails, the lease expires."""
         await self._store.end_lease(lease)
 
-    async def _with_patience(self, call: Awaitable[RelayedOutcome]) -> RelayedOutcome:
-        """Make a direct call, for a short time only if other nodes are known."""
+    async def _with_timeout(self, call: Awaitable[RelayedOutcome]) -> RelayedOutcome:
+        """Make a direct call, with a short timeout if other nodes could relay it."""
         if not self._nodes():
             return await call
         try:
@@ -275,61 +273,63 @@
             return Unknown("no answer in time")
 
     async def _read(
-        self, ask_directly: Callable[[], Awaitable[RelayedOutcome]], call: RelayedCall
+        self, call_directly: Callable[[], Awaitable[RelayedOutcome]], call: RelayedCall
     ) -> RelayedOutcome:
-        """Make a call that may be made twice, directly or by way of another node."""
-        if now_s() < self._relays_first_until_s and self._may_relay():
+        """Make an idempotent call, directly or through another node."""
+        if now_s() < self._relay_first_until_s and self._may_relay():
             answer = await self._relay(call)
             if not isinstance(answer, NotDone | Unknown):
                 return answer
-        answer = await ask_directly()
-        self._note_direct(answer)
+        answer = await call_directly()
+        self._record_direct(answer)
         if isinstance(answer, NotDone | Unknown) and self._may_relay():
             answer = await self._relay(call)
         return answer
 
     def _may_relay(self) -> bool:
-        return now_s() >= self._relays_from_s and bool(self._nodes_to_ask())
+        return now_s() >= self._retry_relay_from_s and bool(self._nodes_to_ask())
 
     def _nodes_to_ask(self) -> list[str]:
         now = now_s()
-        trusted = [node for node in self._nodes() if now >= self._node_from_s.get(node, 0.0)]
-        return trusted[:MAX_NODES_ASKED]
-
-    def _note_direct(self, answer: RelayedOutcome) -> None:
-        """Learn from a direct call whether the store serves this node."""
-        did_fail = self._direct_calls_fail
+        candidates = [
+            node for node in self._nodes() if now >= self._retry_node_from_s.get(node, 0.0)
+        ]
+        return candidates[:MAX_NODES_ASKED]
+
+    def _record_direct(self, answer: RelayedOutcome) -> None:
+        """Update the relaying state from the outcome of a direct call."""
+        failed_before = self._direct_calls_fail
         self._direct_calls_fail = isinstance(answer, NotDone | Unknown)
         if not self._direct_calls_fail:
-            self._relay_periods.reset()
+            self._relay_first_backoff.reset()
             return
-        self._relays_first_until_s = now_s() + self._relay_periods.next_pause_s()
-        if not did_fail and self._may_relay():
+        self._relay_first_until_s = now_s() + self._relay_first_backoff.next_pause_s()
+        if not failed_before and self._may_relay():
             for listener in self.direct_failure_listeners:
                 listener()
 
     async def _relay(self, call: RelayedCall) -> RelayedOutcome:
-        """Make a call by way of another node; it ends at the first that may have made it."""
+        """Relay a call; stops at the first node that may have executed it."""
         answer: RelayedOutcome = NotDone("no node relays")
         for address in self._nodes_to_ask():
             answer = await self._client.relay(address, call)
             if not isinstance(answer, NotDone | Unknown):
-                self._attempts.reset()
+                self._relay_backoff.reset()
                 return answer
-            self._node_from_s[address] = now_s() + NODE_PAUSE_S
+            self._retry_node_from_s[address] = now_s() + NODE_PAUSE_S
             if isinstance(answer, Unknown):
                 break
-        pause_s = self._attempts.next_pause_s()
-        self._relays_from_s = now_s() + pause_s
+        delay_s = self._relay_backoff.next_pause_s()
+        self._retry_relay_from_s = now_s() + delay_s
         logging.info(
-            "call to the store: not by way of other nodes either (%s), next after %.1f s",
+            "store call: relaying through other nodes failed too (%s), next attempt in %.1f s",
             answer,
-            pause_s,
+            delay_s,
         )
         return answer
 
 
-def _of_another_kind(answer: RelayedOutcome) -> Unknown:
-    """A node that answers with something else is faulty: whether it made the call is unknown."""
-    logging.error("a relayed call was answered by a %s", type(answer).__name__)
-    return Unknown("an answer of another kind")
+def _unexpected_answer(answer: RelayedOutcome) -> Unknown:
+    """The outcome of a relayed call that was answered with the wrong type."""
+    logging.error("relayed store call: unexpected answer of type %s", type(answer).__name__)
+    return Unknown("unexpected type of answer")
--- a/src/hollowrack/coordination/relay_http.py
+++ b/src/hollowrack/coordination/relay_http.py
@@ -1,4 +1,4 @@
-"""Relayed calls to the store over HTTP."""
+"""HTTP client and route for relayed store calls."""
 
 import aiohttp
 from starlette.routing import Route
@@ -36,8 +36,7 @@
 )
 
 RELAY_PATH = "/store"
-# A node that is served answers within some ten milliseconds, a slow store within a quarter of a
-# second. Silence must not hold up a call that the store may answer directly meanwhile.
+# A slow store answers within 0.25 s. Waiting longer delays a call that may succeed directly.
 ANSWER_TIMEOUT_S = 0.8
 WATCH_GRACE_S = 0.8
 
@@ -65,33 +64,33 @@
 
 
 class HttpRelayClient:
-    """Sends calls to other nodes; see :class:`hollowrack.coordination.relay.RelayClient`.
+    """Sends store calls over HTTP; see :class:`hollowrack.coordination.relay.RelayClient`.
 
     Args:
-        session: HTTP session for nodes.
+        session: HTTP session for requests between nodes.
     """
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self._session = session
 
     async def relay(self, address: str, call: RelayedCall) -> RelayedOutcome:
-        """Have a node make a call."""
+        """Have the node at an address make a call."""
         total_s = ANSWER_TIMEOUT_S
         if isinstance(call, RelayedWatch):
             total_s = call.wait_s + WATCH_GRACE_S
         try:
             answer = await ask_node(self._session, address, RELAY_PATH, call, total_s)
         except NodeUnreachableError:
-            return NotDone(f"the node at {address} was not reached")
+            return NotDone(f"node at {address} is unreachable")
         except NodeSilentError as error:
-            return Unknown(f"the node at {address}: {error}")
+            return Unknown(f"node at {address}: {error}")
         if not isinstance(answer, _OUTCOMES):
-            return Unknown(f"the node at {address} answered nonsense")
+            return Unknown(f"node at {address} sent an unexpected type of answer")
         return answer
 
 
 def relay_routes(store: CoordinationStore) -> list[Route]:
-    """Return the route that makes other nodes' calls.
+    """Return the HTTP route that executes other nodes' store calls.
 
     Args:
         store: Direct access to the store.
--- a/src/hollowrack/coordination/retirement.py
+++ b/src/hollowrack/coordination/retirement.py
@@ -1,4 +1,4 @@
-"""Machines that operators want to take away: the leader tells when they are empty."""
+"""Retirement of machines: the leader confirms to the operators that a machine is empty."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,45 +8,46 @@
 from hollowrack.coordination.leadership import Leadership
 from hollowrack.tasks import cancel_all
 
-# Well inside the seconds that an operator waits for the answer.
+# Well below the operators' timeout of a few seconds.
 LOOK_S = 0.3
 
 
 class MachineRetirement:
-    """Answers requests to empty machines while this node leads.
+    """Confirms requested retirements while this node leads.
 
-    Nothing lasts on any machine's disk, so a machine to be emptied is empty.
+    Nodes keep no durable state on disk, so a machine counts as empty as soon as it is requested.
 
     Args:
         leadership: Whether this node leads.
-        complete: Tells the operators that a machine is empty; returns whether that is certain.
+        complete: Confirms to the operators that a machine is empty; returns whether that certainly
+            succeeded.
     """
 
     def __init__(self, leadership: Leadership, complete: Callable[[str], Awaitable[bool]]) -> None:
         self._leadership = leadership
         self._complete = complete
-        self._asked: set[str] = set()
+        self._requested: set[str] = set()
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start answering."""
+        """Start confirming requests whenever this node leads."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop answering."""
+        """Stop confirming requests."""
         await cancel_all(self._task)
 
     def ask(self, machine: str) -> None:
-        """Note that a machine is to be emptied."""
-        self._asked.add(machine)
+        """Record that the operators want to retire a machine."""
+        self._requested.add(machine)
 
     async def _run(self) -> None:
-        done: set[str] = set()
+        completed: set[str] = set()
         while True:
             await asyncio.sleep(LOOK_S)
             if not self._leadership.is_leader:
                 continue
-            for machine in sorted(self._asked - done):
+            for machine in sorted(self._requested - completed):
                 if await self._complete(machine):
                     logging.info("machine %s is empty", machine)
-                    done.add(machine)
+                    completed.add(machine)
--- a/src/hollowrack/coordination/session.py
+++ b/src/hollowrack/coordination/session.py
@@ -1,7 +1,7 @@
-"""A node's session in the store: a lease that is renewed while the process lives.
+"""A node's session in the coordination store: a lease that is renewed while the process runs.
 
-The session's validity is measured on the steady clock from before the renewal was sent, so the
-local view always ends before the store's. Nothing that must be safe rests on it alone.
+Validity is measured on the monotonic clock from before the renewal was sent, so the session expires
+locally before it expires at the store. Safety must not depend on the local view alone.
 """
 
 import asyncio
@@ -27,35 +27,40 @@
 
 
 def owner_name(node: str, incarnation: str) -> str:
-    """Return the name of one process of a node."""
+    """Return the name of one incarnation of a node, unique among all processes."""
     return f"{node}{_OWNER_SEPARATOR}{incarnation}"
 
 
 def owner_in(value: bytes) -> str:
     """Return the owner that a key's value names.
 
-    Bytes that are no text name an owner that nobody is: its keys are taken over as those of a
-    process that has ended.
+    A value that is not valid UTF-8 decodes to an owner that does not exist, so its keys are taken
+    over like those of a process that has ended.
     """
     return value.decode(errors="backslashreplace")
 
 
 def is_owner(value: bytes) -> bool:
-    """Whether a key's value can be read as an owner."""
+    """Whether a key's value is a valid owner name."""
     return bool(value) and owner_in(value).encode() == value
 
 
 def node_of_owner(owner: str) -> str:
-    """Return the node whose process an owner is."""
+    """Return the name of the node of an owner."""
     return owner.rsplit(_OWNER_SEPARATOR, 1)[0]
 
 
 class Session:
-    """Holds one lease at a time.
+    """Opens a lease, renews it, and opens another one when it is lost.
 
     Args:
-        store: The coordination store.
+        store: Grants the leases.
         rng: Source of the retry jitter.
+
+    Attributes:
+        lease: The current lease; ``None`` if there is none.
+        valid_until_s: When the lease may expire, on the loop's clock.
+        changed: Set, and replaced by a new event, when ``lease`` changes.
     """
 
     def __init__(self, store: CoordinationStore, rng: random.Random) -> None:
@@ -68,16 +73,16 @@
 
     @property
     def is_valid(self) -> bool:
-        """Whether the lease certainly still holds."""
+        """Whether the lease certainly has not expired."""
         return self.lease is not None and now_s() < self.valid_until_s
 
     @property
     def is_held(self) -> bool:
-        """Whether a lease is held, or being asked for."""
+        """Whether a lease is held or being requested."""
         return self._task is not None
 
     def start(self) -> None:
-        """Start holding a lease; after a stop, another one."""
+        """Start holding a lease; after a stop, a new one."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
@@ -90,7 +95,7 @@
             await self._store.end_lease(lease)
 
     async def abandon(self) -> None:
-        """Stop renewing and leave the lease to its own end; for tests."""
+        """Stop renewing and let the lease expire; for tests."""
         await cancel_all(self._task)
 
     async def _run(self) -> None:
--- a/src/hollowrack/coordination/sharing.py
+++ b/src/hollowrack/coordination/sharing.py
@@ -1,13 +1,13 @@
-"""Few nodes watch the store; the others watch those nodes' mirrors instead.
+"""Fan-out of watches: few nodes watch the store, the others watch those nodes' mirrors.
 
-Calls to the store are paid for and limited, and all nodes want the same changes. Mirrors keep a
-short history under the store's own revisions, so a watch reads the same whether the store or
-another node answers it. The leader watches the store, other nodes with a session watch the leader,
-and nodes without a session watch some of those.
+Calls to the store are paid for and rate limited, and all nodes need the same changes. Mirrors keep
+a short history under the store's own revisions, so a watch gives the same answer from the store as
+from another node. The leader watches the store, other nodes with a session (followers) watch the
+leader, and nodes without a session (observers) watch some of the followers.
 
-Every answer tells how long ago the store itself answered, and whoever passes it on adds the time
-that it was kept. So nodes that watch each other cannot keep each other fresh: when the store
-answers neither of them, both become too old. A node whose sources are all too old asks the store.
+Every answer contains the time since the store itself answered, and each hop adds the time that it
+held the answer. Nodes that watch each other in a cycle therefore become stale together when the
+store answers none of them. A node whose sources are all stale asks the store.
 """
 
 import asyncio
@@ -35,25 +35,25 @@
 from hollowrack.coordination.watch_messages import MAX_MIRROR_AGE_S, SharedChanges, WatchRequest
 from hollowrack.results import ResultCode
 
-# What a node that asks another one may lag: one more short watch and its pause.
+# MAX_MIRROR_AGE_S plus the wait and the interval of one more short watch.
 MAX_RELAYED_AGE_S = 1.7
-# After a node gave no answer it is not asked for this long: the next time-out delays changes again.
+# Time for which a source that timed out is not asked again, as every timeout delays changes.
 DISTRUST_S = 1.5
-# A node whose mirror is old answers at once, and is asked again after two looks at the store.
+# The same for a source that answered at once that its mirror is stale.
 STALE_DISTRUST_S = 0.5
-# Nodes with a session all ask the store while nobody leads: after its first question each pauses.
+# Limits the load on the store while there is no leader and all followers ask it.
 FOLLOWER_PAUSE_S = 0.4
-# Nodes without a session are many. While the store fails all of them, each asks it this seldom;
-# changes have three seconds on deployments that are large enough to have such nodes.
+# Observers are many, so each probes a failing store rarely. Deployments that are large enough to
+# have observers have a propagation limit of 3 s.
 PROBE_INTERVAL_S = 2.0
 
 
 class StoreAccess(Enum):
-    """How freely a node may ask the store for changes."""
+    """How often a node may call the store for changes."""
 
-    LEADER = "whenever it wants"
-    FOLLOWER = "with pauses, while the leader does not answer"
-    OBSERVER = "seldom, while no node answers"
+    LEADER = "without limit"
+    FOLLOWER = "with a delay between calls, while the leader does not answer"
+    OBSERVER = "one probe per interval, while no node answers"
 
 
 class FeedClient(Protocol):
@@ -64,19 +64,19 @@
 
 
 class SharedStore:
-    """The store, with watches and listings answered by other nodes where they can.
+    """A store whose watches and listings are answered by other nodes where possible.
 
     Args:
-        store: The store.
+        store: Used for writes, leases and single reads, and when no source answers.
         client: Sends watches to other nodes.
-        sources: Returns the addresses of the nodes to ask, the preferred one first.
-        access: Returns how freely this node may ask the store itself.
+        sources: Returns the addresses of the nodes to ask, in order of preference.
+        access: Returns how often this node may call the store itself.
 
     Attributes:
-        sentinel_prefix: The prefix whose short watches show that others may hang. What is known of
-            it is as old as its own last answer; of other prefixes, as the last answer about any.
-        source_listeners: Called when watches are answered by another source than before.
-        recovery_listeners: Called when the store itself answers after it did not, or was not asked.
+        sentinel_prefix: The prefix whose short watches detect that others hang. Its age counts from
+            its own last answer; the age of other prefixes, from the last answer about any prefix.
+        source_listeners: Called when the source that answers watches changes.
+        recovery_listeners: Called when the store itself answers after it failed or was not asked.
     """
 
     def __init__(
@@ -90,9 +90,9 @@
         self._client = client
         self._sources = sources
         self._access = access
-        # Prefixes of which the store was asked since another node has answered.
-        self._asked_store: set[str] = set()
-        self._trusted_from_s: dict[str, float] = {}
+        # Prefixes for which the store was asked since another node last answered.
+        self._prefixes_asked: set[str] = set()
+        self._retry_source_from_s: dict[str, float] = {}
         self._reached: dict[str, int] = {}
         self._source: str | None = None
         self._store_answers = False
@@ -103,10 +103,10 @@
         self.recovery_listeners: list[Callable[[], None]] = []
 
     def heard_s(self, prefix: str | None) -> float:
-        """Return when the store last answered about a prefix, here or where this node learnt of it.
+        """Return when the store last answered about a prefix, to this node or to its source.
 
         Args:
-            prefix: The prefix; ``None`` for any.
+            prefix: ``None`` for any prefix.
 
         Returns:
             The time on the loop's clock; minus infinity if it never did.
@@ -116,13 +116,13 @@
         return max(self._heard_s.values(), default=-float("inf"))
 
     def note_heard(self, prefix: str, at_s: float) -> None:
-        """Take in that what is known of a prefix was all that the store held at a time."""
+        """Record that the known state of a prefix was the store's state at ``at_s``."""
         self._heard_s[prefix] = max(at_s, self._heard_s.get(prefix, at_s))
 
     async def watch(
         self, prefix: str, after_revision: int, wait_s: float
     ) -> Changes | HistoryGone | Unavailable:
-        """Watch at another node, or at the store if none answers."""
+        """Watch another node's mirror, or the store if no node answers."""
         self._reach(prefix, after_revision)
         request = WatchRequest(prefix, after_revision, wait_s, self._max_age_s())
         shared = await self._ask_sources(request)
@@ -132,11 +132,11 @@
             return Changes(shared.items(), max(after_revision, shared.revision))
         is_probe = self._must_probe()
         if is_probe and not self._begin_probe():
-            return NotDone("no node answers for the store")
-        await self._pause_if_asked_before(prefix)
-        # A probe does not wait: others follow at once if it is answered.
+            return NotDone("no source answered and the next probe is not due")
+        await self._delay_repeated_call(prefix)
+        # A probe does not wait for changes; after an answer, watches continue at once.
         answer = await self._store.watch(prefix, after_revision, 0.0 if is_probe else wait_s)
-        self._note_store_answers(isinstance(answer, Changes | HistoryGone))
+        self._record_store_state(isinstance(answer, Changes | HistoryGone))
         if isinstance(answer, Changes):
             self.note_heard(prefix, now_s())
         return answer
@@ -150,19 +150,19 @@
             self._reach(prefix, shared.revision)
             return shared.listed()
         if self._must_probe() and not self._begin_probe():
-            return NotDone("no node answers for the store")
+            return NotDone("no source answered and the next probe is not due")
         sent_s = now_s()
         listing = await self._store.list_prefix(prefix)
-        self._note_store_answers(isinstance(listing, Listing))
+        self._record_store_state(isinstance(listing, Listing))
         if isinstance(listing, Listing):
             self.note_heard(prefix, sent_s)
             self._reach(prefix, listing.revision)
         return listing
 
     async def _ask_sources(self, request: WatchRequest) -> SharedChanges | None:
-        """Ask one node after the other; ``None`` if none has an answer that may be used."""
+        """Ask the sources in turn; ``None`` if none gives a usable answer."""
         for address in self._sources():
-            if now_s() < self._trusted_from_s.get(address, 0.0):
+            if now_s() < self._retry_source_from_s.get(address, 0.0):
                 continue
             sent_s = now_s()
             shared = await self._client.watch(address, request)
@@ -170,13 +170,13 @@
             if shared is not None and refusal is None:
                 if not shared.is_history_gone:
                     self.note_heard(request.prefix, shared.known_at_s(sent_s))
-                self._note_source(address)
+                self._set_source(address)
                 return shared
-            distrust_s = DISTRUST_S if shared is None else STALE_DISTRUST_S
-            self._trusted_from_s[address] = now_s() + distrust_s
-            logging.info("watch of %s: not at the node %s: %s", request.prefix, address, refusal)
-        self._note_source(None)
-        # A listener may have had this very watch begin anew: it ends here, not inside a probe.
+            retry_interval_s = DISTRUST_S if shared is None else STALE_DISTRUST_S
+            self._retry_source_from_s[address] = now_s() + retry_interval_s
+            logging.info("watch of %s: source %s rejected: %s", request.prefix, address, refusal)
+        self._set_source(None)
+        # If a listener restarted this watch, its cancellation is delivered here, not in a probe.
         await asyncio.sleep(0)
         return None
 
@@ -185,33 +185,33 @@
         return MAX_RELAYED_AGE_S if is_observer else MAX_MIRROR_AGE_S
 
     def _must_probe(self) -> bool:
-        """Whether the store may only be asked now and then: it does not answer, or may not."""
+        """Whether the store may only be probed."""
         is_observer = self._access() is StoreAccess.OBSERVER
         return is_observer and not self._store_answers and bool(self._sources())
 
     def _begin_probe(self) -> bool:
-        """Whether a probe is due, which counts as made then."""
+        """Whether a probe is due; if so, the next one is scheduled."""
         if now_s() < self._next_probe_s:
             return False
         self._next_probe_s = now_s() + PROBE_INTERVAL_S
         return True
 
-    def _note_store_answers(self, answers: bool) -> None:
+    def _record_store_state(self, answers: bool) -> None:
         if answers and not self._store_answers:
             for listener in self.recovery_listeners:
                 listener()
         self._store_answers = answers
 
-    async def _pause_if_asked_before(self, prefix: str) -> None:
-        """Pause before a follower's further questions; the first tells what it has missed."""
-        if prefix in self._asked_store and self._access() is not StoreAccess.LEADER:
+    async def _delay_repeated_call(self, prefix: str) -> None:
+        """Delay all but a follower's first call, which fetches what it has missed."""
+        if prefix in self._prefixes_asked and self._access() is not StoreAccess.LEADER:
             await asyncio.sleep(FOLLOWER_PAUSE_S)
-        self._asked_store.add(prefix)
+        self._prefixes_asked.add(prefix)
 
-    def _note_source(self, source: str | None) -> None:
-        """Have watches that wait at another source begin anew: that one may never answer."""
+    def _set_source(self, source: str | None) -> None:
+        """Record the source; on a change, watches that wait at the old one are restarted."""
         if source is not None:
-            self._asked_store.clear()
+            self._prefixes_asked.clear()
             self._store_answers = False
         if source != self._source:
             self._source = source
@@ -245,12 +245,12 @@
 
 
 def _refusal(request: WatchRequest, shared: SharedChanges | None) -> str | None:
-    """Why an answer may not be used; ``None`` if it may."""
+    """Why an answer is not usable; ``None`` if it is."""
     if shared is None:
         return "no answer"
     if shared.is_stale:
-        return "its mirror is old"
+        return "its mirror is stale"
     if request.wants_listing and shared.revision < request.after_revision:
-        return f"its listing is of revision {shared.revision}, {request.after_revision} is known"
+        return f"its listing has revision {shared.revision}, known is {request.after_revision}"
     fault = shared.fault(request.wants_listing)
     return None if fault is None else f"[{int(ResultCode.MESSAGE_INVALID)}] {fault}"
--- a/src/hollowrack/coordination/store.py
+++ b/src/hollowrack/coordination/store.py
@@ -1,8 +1,8 @@
-"""What the product needs of a coordination store, as typed calls and answers.
+"""Interface of the coordination store: typed calls and answers.
 
-A write has three possible ends besides success: a condition did not hold (:class:`Conflict`),
-nothing was done (:class:`NotDone`), or nobody can tell (:class:`Unknown`): the write may have been
-done, or may be done later if its condition still holds.
+Besides success a write has three possible outcomes: a condition did not hold (:class:`Conflict`),
+nothing was written (:class:`NotDone`), or the outcome is unknown (:class:`Unknown`): the write may
+have been applied, or may be applied later if its conditions still hold.
 """
 
 from collections.abc import Sequence
@@ -18,13 +18,11 @@
 @message("store.item")
 @dataclass(frozen=True)
 class StoredItem:
-    """One key as it stands in the store.
+    """A key and its value.
 
     Attributes:
-        key: Its name.
-        value: Its value.
-        revision: Store revision of its last change.
-        lease: Lease it goes with; ``NO_LEASE`` if none.
+        revision: Store revision of the key's last change.
+        lease: Lease at whose end the key is removed; ``NO_LEASE`` if none.
     """
 
     key: str
@@ -36,7 +34,7 @@
 @message("store.listing")
 @dataclass(frozen=True)
 class Listing:
-    """All keys below a prefix and the store revision up to which changes are included."""
+    """All keys below a prefix; ``revision`` is that up to which all changes are included."""
 
     items: tuple[StoredItem, ...]
     revision: int
@@ -45,11 +43,10 @@
 @message("store.removed")
 @dataclass(frozen=True)
 class RemovedKey:
-    """One key that the store holds no longer.
+    """A key that was removed.
 
     Attributes:
-        key: Its name.
-        revision: Store revision of its removal.
+        revision: Store revision of the removal.
     """
 
     key: str
@@ -62,11 +59,12 @@
 @message("store.changes")
 @dataclass(frozen=True)
 class Changes:
-    """Changes below a prefix, in any order: each one's revision tells what it is newer than.
+    """Changes below a prefix, in any order; each change has its own revision.
 
     Attributes:
         items: Keys written and keys removed.
-        revision: All changes up to this store revision are included; continue watching after it.
+        revision: All changes up to this store revision are included; the next watch continues
+            after it.
     """
 
     items: tuple[KeyChange, ...]
@@ -76,7 +74,7 @@
 @message("store.committed")
 @dataclass(frozen=True)
 class Committed:
-    """A write was done at this store revision."""
+    """A write was applied at this store revision."""
 
     revision: int
 
@@ -84,10 +82,10 @@
 @message("store.conflict")
 @dataclass(frozen=True)
 class Conflict:
-    """A condition of a write did not hold; nothing was done.
+    """A condition of a write did not hold; nothing was written.
 
     Attributes:
-        current: The conditioned keys that exist, as they are now.
+        current: Current items of the keys named in the conditions, as far as they exist.
     """
 
     current: tuple[StoredItem, ...]
@@ -96,13 +94,13 @@
 @message("store.lease_gone")
 @dataclass(frozen=True)
 class LeaseGone:
-    """The lease named by a write or a renewal is over; nothing was done."""
+    """The lease named by a write or a renewal has ended; nothing was written."""
 
 
 @message("store.not_done")
 @dataclass(frozen=True)
 class NotDone:
-    """The store refused or could not be reached before anything was sent."""
+    """The store refused the call or could not be reached; nothing was written."""
 
     reason: str
 
@@ -110,7 +108,7 @@
 @message("store.unknown")
 @dataclass(frozen=True)
 class Unknown:
-    """No answer came: the write may have been done, or may be done later."""
+    """No answer arrived: the call may have been executed, or may be executed later."""
 
     reason: str
 
@@ -118,13 +116,13 @@
 @message("store.history_gone")
 @dataclass(frozen=True)
 class HistoryGone:
-    """The changes asked for are no longer kept: list again."""
+    """The requested changes have been compacted; the caller has to list again."""
 
 
 @message("store.granted_lease")
 @dataclass(frozen=True)
 class GrantedLease:
-    """A lease, with the time to live that the store applies, in seconds."""
+    """A lease and the time to live granted by the store, in seconds."""
 
     lease: int
     ttl_s: float
@@ -141,7 +139,7 @@
 
 @dataclass(frozen=True)
 class Condition:
-    """A key must have this revision; ``ABSENT_REVISION`` demands that it does not exist."""
+    """A key must have this revision; ``ABSENT_REVISION`` requires that it does not exist."""
 
     key: str
     revision: int = ABSENT_REVISION
@@ -171,7 +169,7 @@
         puts: Sequence[Put],
         removes: Sequence[str] = (),
     ) -> WriteOutcome:
-        """Do all writes if all conditions hold, else none."""
+        """Apply all writes atomically if all conditions hold, else none."""
 
     async def grant_lease(self, ttl_s: float) -> GrantedLease | Unavailable:
         """Open a lease."""
@@ -180,7 +178,7 @@
         """Renew a lease."""
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease with its keys; a lost answer is left to the lease's own end."""
+        """End a lease and remove its keys; if the call fails, the lease expires."""
 
 
 async def create_key(store: CoordinationStore, key: str, value: bytes) -> WriteOutcome:
--- a/src/hollowrack/coordination/tenure.py
+++ b/src/hollowrack/coordination/tenure.py
@@ -1,14 +1,14 @@
-"""Since when this node leads, as seen by what it does while it leads."""
+"""Detects the start of a new term of leadership of this node."""
 
 from hollowrack.clock import now_s
 from hollowrack.coordination.leadership import Leadership
 
 
 class Tenure:
-    """Tells one part of a node when its leadership is a new one.
+    """The current term of leadership, as seen by one component that acts only as the leader.
 
     Args:
-        leadership: Whether this node leads.
+        leadership: Provides the fencing token that identifies a term.
     """
 
     def __init__(self, leadership: Leadership) -> None:
@@ -17,7 +17,7 @@
         self._began_s = 0.0
 
     def note(self) -> bool:
-        """Note that this node leads now; returns whether it did not when this was last noted."""
+        """Record that this node leads; returns whether a new term began since the last call."""
         if self._token == self._leadership.fencing_token:
             return False
         self._token = self._leadership.fencing_token
@@ -26,5 +26,5 @@
 
     @property
     def age_s(self) -> float:
-        """How long this node has led, in seconds."""
+        """Time since the term was first recorded, in seconds."""
         return now_s() - self._began_s
--- a/src/hollowrack/coordination/watch_messages.py
+++ b/src/hollowrack/coordination/watch_messages.py
@@ -1,25 +1,25 @@
-"""What nodes say to each other about changes in the store."""
+"""Messages between nodes for watches of each other's mirrors."""
 
 from dataclasses import dataclass
 
 from hollowrack.coordination.store import KeyChange, Listing, RemovedKey, StoredItem
 from hollowrack.messages.codec import message
 
-# What a node that itself asks the store may lag behind it: one short watch, its pause and a margin.
+# Wait and interval of one short watch, and a margin.
 MAX_MIRROR_AGE_S = 0.9
 
 
 @message("feed.watch")
 @dataclass(frozen=True)
 class WatchRequest:
-    """A watch, or a listing, that another node is asked for.
+    """A request to another node for changes below a prefix, or for all keys.
 
     Attributes:
         prefix: Prefix of the keys.
-        after_revision: Store revision the asking node has reached.
-        wait_s: Longest wait, in seconds.
-        max_age_s: How long ago the store itself may have answered at the most, in seconds.
-        wants_listing: Whether all keys are wanted instead of changes.
+        after_revision: Store revision that the requesting node has reached.
+        wait_s: Longest wait for a change, in seconds.
+        max_age_s: Longest allowed time since the store itself answered, in seconds.
+        wants_listing: Whether all keys are requested instead of changes.
     """
 
     prefix: str
@@ -32,13 +32,13 @@
 @message("feed.change")
 @dataclass(frozen=True)
 class SharedChange:
-    """A key as it was written, or removed (``value`` is ``None``).
+    """A key that was written or removed.
 
     Attributes:
-        key: Its name.
-        value: Its value.
-        revision: Store revision of the change; 0 from a node that does not tell it.
-        lease: Lease the key goes with.
+        key: Name of the key.
+        value: The value written; ``None`` if the key was removed.
+        revision: Store revision of the change; 0 from a node that does not send it.
+        lease: Lease that the key is bound to; 0 if none.
     """
 
     key: str
@@ -48,13 +48,13 @@
 
     @staticmethod
     def of(change: KeyChange) -> "SharedChange":
-        """Return a change as nodes tell it to each other."""
+        """Convert a change of the store."""
         if isinstance(change, RemovedKey):
             return SharedChange(change.key, None, change.revision)
         return SharedChange(change.key, change.value, change.revision, change.lease)
 
     def as_stored(self) -> KeyChange:
-        """Return the change as the store would tell it."""
+        """Convert to a change of the store."""
         if self.value is None:
             return RemovedKey(self.key, self.revision)
         return StoredItem(self.key, self.value, self.revision, self.lease)
@@ -63,15 +63,16 @@
 @message("feed.changes")
 @dataclass(frozen=True)
 class SharedChanges:
-    """Changes behind the asking node's revision, or all keys.
+    """The answer to a :class:`WatchRequest`: changes after its revision, or all keys.
 
     Attributes:
         changes: The changes, oldest first; all keys for a listing.
-        revision: Store revision reached.
-        is_history_gone: Whether the asking node has to list again.
-        is_stale: Whether this node's mirror is too old.
-        age_s: How long ago the store itself answered, in seconds.
-        held_s: How long the question was held before this answer, in seconds.
+        revision: Store revision up to which all changes are included.
+        is_history_gone: Whether the requested changes are no longer kept, so that the requesting
+            node has to list again.
+        is_stale: Whether the answering node's mirror is older than requested.
+        age_s: Time since the store itself answered, in seconds.
+        held_s: Time for which the request waited before this answer, in seconds.
     """
 
     changes: tuple[SharedChange, ...] = ()
@@ -81,29 +82,33 @@
     age_s: float = 0.0
     held_s: float = 0.0
 
-    def known_at_s(self, asked_s: float) -> float:
-        """Return when the store held just this, on the asking node's clock, at the earliest.
+    def known_at_s(self, sent_s: float) -> float:
+        """Return the earliest time at which the store was in this state.
 
         Args:
-            asked_s: When the question was sent.
+            sent_s: When the request was sent, on the requesting node's clock.
+
+        Returns:
+            The time on the requesting node's clock.
         """
-        # The answer was made after the time that it was held, at the earliest.
-        return asked_s + self.held_s - self.age_s
+        # The answer was produced ``held_s`` after the request was sent, at the earliest.
+        return sent_s + self.held_s - self.age_s
 
     def items(self) -> tuple[KeyChange, ...]:
-        """Return the changes as the store would tell them."""
+        """Return the changes as changes of the store."""
         return tuple(change.as_stored() for change in self.changes)
 
     def listed(self) -> Listing:
-        """Return the keys of an answer to a question for all keys."""
+        """Return the answer to a request for all keys as a listing of the store."""
         items = tuple(item for item in self.items() if isinstance(item, StoredItem))
         return Listing(items, self.revision)
 
     def fault(self, is_listing: bool) -> str | None:
-        """What makes the answer unusable; ``None`` if nothing does.
+        """Why the answer is invalid; ``None`` if it is valid.
 
         Args:
-            is_listing: Whether all keys were asked for: some may be newer than the listing.
+            is_listing: Whether all keys were requested; keys of a listing may be newer than its
+                revision.
         """
         for change in self.changes:
             if change.revision <= 0:
