--- a/src/hollowrack/capacity/__init__.py
+++ b/src/hollowrack/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity: how many workers a service has in each zone, ordered from the platform."""
+"""Capacity: the number of workers per service and zone, ordered from the platform."""
--- a/src/hollowrack/capacity/duty.py
+++ b/src/hollowrack/capacity/duty.py
@@ -1,8 +1,9 @@
-"""Orders capacity from the platform, while this node leads.
+"""Reconciler of the ordered capacity, active on the leader.
 
-The platform tells nobody what was ordered, so the plan is kept in the coordination store: the first
-leader that knows the workers decides it, and every later one orders the same. Were each leader to
-hold what it finds, every worker that fails during a change of leaders would be lost for good.
+The platform does not report what was ordered, so the plan is kept in the coordination store: the
+first leader that knows the workers decides it, and later leaders order the same. If each leader
+ordered the capacity that it finds, a worker that fails during a change of leader would never be
+replaced.
 """
 
 import asyncio
@@ -23,24 +24,24 @@
 from hollowrack.tasks import cancel_all
 
 LOOK_S = 0.5
-# Workers write of themselves about once a second: by then all that live have been seen.
+# Workers write their entries about once per second, so all live ones have been seen by then.
 FIRST_LOOK_S = 2.0
-# An order that was lost, or undone by an older one that arrived late, is repaired by the next.
+# Repeats repair an order that was lost, or overwritten by a late older one.
 REPEAT_S = 10.0
 RETRY_PAUSE_S = 1.0
 
 
 class CapacityDuty:
-    """Orders capacity for all nodes.
+    """Decides the capacity plan and orders it from the platform while this node leads.
 
     Args:
         node: This node's name.
         key: Key of the plan in the coordination store.
-        store: The coordination store.
+        store: Holds the plan.
         leadership: Whether this node may order.
-        services: Returns the services in force.
-        workers: The workers known.
-        client: Gives orders.
+        services: Returns the services of the configuration in force.
+        workers: The known workers.
+        client: Sends orders to the platform.
     """
 
     def __init__(
@@ -59,8 +60,8 @@
         self._workers = workers
         self._client = client
         self._record = Record(store, key, CapacityPlan)
-        self._tenure = Tenure(leadership)
-        self._due_s: dict[CapacityOrder, float] = {}
+        self._term = Tenure(leadership)
+        self._next_order_s: dict[CapacityOrder, float] = {}
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -68,11 +69,11 @@
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop ordering; what was ordered stays."""
+        """Stop ordering; existing orders stay in force."""
         await cancel_all(self._task)
 
     def take(self, item: StoredItem | None) -> None:
-        """Take in the plan as a mirror shows it."""
+        """Update the plan from the mirrored item."""
         self._record.take(item)
 
     async def _run(self) -> None:
@@ -80,29 +81,29 @@
             await asyncio.sleep(LOOK_S)
             if not self._leadership.may_act:
                 continue
-            if self._tenure.note():
-                self._due_s.clear()
+            if self._term.note():
+                self._next_order_s.clear()
             plan = self._record.value
             if plan is not None:
-                await self._order(plan)
-            elif self._tenure.age_s >= FIRST_LOOK_S:
+                await self._order_plan(plan)
+            elif self._term.age_s >= FIRST_LOOK_S:
                 await self._decide()
 
     async def _decide(self) -> None:
-        serving = [worker for worker in self._workers.all() if not worker.is_leaving]
-        plan = plan_as_found(self._services(), serving)
+        available = [worker for worker in self._workers.all() if not worker.is_leaving]
+        plan = plan_as_found(self._services(), available)
         if plan.zones and await self._record.is_known():
             is_decided = await self._record.replace(plan)
             logging.info("capacity: %s %s", plan, "decided" if is_decided else "not decided")
 
-    async def _order(self, plan: CapacityPlan) -> None:
+    async def _order_plan(self, plan: CapacityPlan) -> None:
         for order in orders_of(plan):
             token = self._leadership.fencing_token
-            if now_s() < self._due_s.get(order, 0.0):
+            if now_s() < self._next_order_s.get(order, 0.0):
                 continue
             if token is None or not self._leadership.may_act:
                 return
             outcome = await self._client.order_capacity(DutyHolder(self._node, token), order)
-            is_done = outcome is DutyOutcome.ACCEPTED
+            is_accepted = outcome is DutyOutcome.ACCEPTED
             logging.info("capacity: %s: %s", order, outcome.value)
-            self._due_s[order] = now_s() + (REPEAT_S if is_done else RETRY_PAUSE_S)
+            self._next_order_s[order] = now_s() + (REPEAT_S if is_accepted else RETRY_PAUSE_S)
--- a/src/hollowrack/capacity/planner.py
+++ b/src/hollowrack/capacity/planner.py
@@ -1,4 +1,4 @@
-"""Decides how many workers a service should have in each zone: pure decisions."""
+"""Planning of the number of workers per service and zone, as pure functions."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -8,11 +8,11 @@
 
 
 def plan_as_found(services: Iterable[Service], workers: Sequence[Worker]) -> CapacityPlan:
-    """Plan to hold what is there, within the limits of each service.
+    """Return a plan that keeps the current number of workers, within each service's limits.
 
     Args:
-        services: All services; those without limits are not ours to order.
-        workers: The workers that take new work.
+        services: All services; capacity of those without scaling limits is not ordered.
+        workers: The workers that accept new work.
     """
     found = Counter((worker.service, worker.zone) for worker in workers)
     return CapacityPlan(
@@ -31,7 +31,7 @@
 
 
 def orders_of(plan: CapacityPlan) -> list[CapacityOrder]:
-    """Return the orders that a plan amounts to."""
+    """Return the orders of a plan."""
     orders: list[CapacityOrder] = []
     for zone in plan.zones:
         orders.append(CapacityOrder(zone.service, zone.zone, zone.num_workers))
--- a/src/hollowrack/capacity/types.py
+++ b/src/hollowrack/capacity/types.py
@@ -1,4 +1,4 @@
-"""Capacity that is ordered, and what is kept of it in the coordination store."""
+"""Capacity orders and the stored capacity plan."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -10,13 +10,13 @@
 @message("capacity.zone")
 @dataclass(frozen=True)
 class ZoneCapacity:
-    """How many workers of a service a zone should hold.
+    """The planned number of workers of a service in a zone.
 
     Attributes:
-        service: The service.
-        zone: The zone.
-        num_workers: Workers that stay until they are given back.
-        num_spot_workers: Cheaper ones that may be taken away at short notice.
+        service: Name of the service.
+        zone: Name of the zone.
+        num_workers: Number of regular workers.
+        num_spot_workers: Number of cheaper workers that the platform may reclaim at short notice.
     """
 
     service: str
@@ -28,10 +28,10 @@
 @message("capacity.plan")
 @dataclass(frozen=True)
 class CapacityPlan:
-    """The capacity wanted, as the coordination store keeps it: the platform does not tell it.
+    """Record of the planned capacity in the coordination store.
 
     Attributes:
-        zones: One entry for each service and zone.
+        zones: One entry per service and zone.
     """
 
     zones: tuple[ZoneCapacity, ...]
@@ -39,13 +39,13 @@
 
 @dataclass(frozen=True)
 class CapacityOrder:
-    """An order as it goes to the platform. Each kind of workers is ordered on its own.
+    """An order to the platform; regular and spot workers are ordered separately.
 
     Attributes:
-        service: The service.
-        zone: The zone.
-        num_workers: How many workers of this kind the zone should hold.
-        is_spot: Whether they are the kind that may be taken away.
+        service: Name of the service.
+        zone: Name of the zone.
+        num_workers: Total number of workers of this kind in the zone.
+        is_spot: Whether spot workers are ordered.
     """
 
     service: str
@@ -55,7 +55,7 @@
 
 
 class CapacityClient(Protocol):
-    """Gives orders of capacity to the platform."""
+    """Sends capacity orders to the platform."""
 
     async def order_capacity(self, holder: DutyHolder, order: CapacityOrder) -> DutyOutcome:
-        """Give one order; a repeat does nothing."""
+        """Send one order; a repeat has no effect."""
--- a/src/hollowrack/coordination/duty.py
+++ b/src/hollowrack/coordination/duty.py
@@ -8,8 +8,8 @@
     """Outcome of a duty call."""
 
     ACCEPTED = "accepted"
-    UNAVAILABLE_HERE = "what is asked for cannot be had now"
-    THROTTLED = "too many calls"
+    UNAVAILABLE_HERE = "currently unavailable"
+    THROTTLED = "throttled"
     REFUSED = "refused"
     UNKNOWN = "no answer"
 
--- a/src/hollowrack/tenants/__init__.py
+++ b/src/hollowrack/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants: whose a request is, and how that is proved."""
+"""Tenants and the authentication of their requests."""
--- a/src/hollowrack/tenants/authentication.py
+++ b/src/hollowrack/tenants/authentication.py
@@ -1,4 +1,4 @@
-"""Says whose a request is, by the key that it carries."""
+"""Authentication of requests by bearer key."""
 
 from collections.abc import Sequence
 
@@ -18,7 +18,7 @@
         credentials: The values of all credential headers of the request.
 
     Returns:
-        The key; ``None`` if there are no credentials, several, or others than one bearer token.
+        The key; ``None`` unless there is exactly one credential and it is a bearer token.
     """
     if len(credentials) != 1:
         return None
@@ -34,13 +34,13 @@
     """Return the tenant of a request.
 
     Args:
-        tenants: The tenants of the configuration that the request's route is from.
+        tenants: The tenants of the configuration that contains the request's route.
         credentials: The values of all credential headers of the request.
-        is_public: Whether requests need no key.
+        is_public: Whether the route accepts requests without a key.
 
     Returns:
-        The tenant, or ``None`` for a request that needs no key and carries none that is known.
-        Fails with ``KEY_MISSING`` or ``KEY_UNKNOWN``; neither tells anything of the key.
+        The tenant, or ``None`` if no key is required and no known key was sent. Fails with
+        ``KEY_MISSING`` or ``KEY_UNKNOWN``; the errors do not contain the key.
     """
     if not tenants:
         return Success(None)
--- a/src/hollowrack/tenants/types.py
+++ b/src/hollowrack/tenants/types.py
@@ -1,7 +1,7 @@
-"""Tenants and their keys as one version of the configuration names them.
+"""Tenants and the digests of their keys, from one version of the configuration.
 
-A key opens all that its tenant may do, so no key is kept: only digests under a secret that each
-process draws for itself. They are of no use in a log, at another node or after the process.
+Keys are secrets, so only digests keyed with a random secret of the process are kept. A leaked
+digest is useless outside the process.
 """
 
 import hashlib
@@ -17,18 +17,18 @@
 
 
 def digest_key(key: str) -> KeyDigest:
-    """Return the digest of a key; it is the same throughout one process only."""
+    """Return the digest of a key; it differs between processes."""
     return hashlib.blake2b(key.encode(), key=_SECRET, digest_size=DIGEST_BYTES).digest()
 
 
 @dataclass(frozen=True)
 class Tenant:
-    """One customer of the operators.
+    """A customer that sends requests.
 
     Attributes:
-        name: Its name, which workers are told.
-        key_digests: Digests of the keys that prove a request to be its.
-        priority: Rank of its requests, 0 first; ``None`` leaves it to the route.
+        name: Name of the tenant, which is sent to workers.
+        key_digests: Digests of the keys that authenticate its requests.
+        priority: Rank of its requests, 0 first; ``None`` to use the route's.
     """
 
     name: str
@@ -43,7 +43,7 @@
         tenants: The tenants.
 
     Raises:
-        ValueError: If a name is empty or stands twice, or if two tenants share a key.
+        ValueError: If a name is empty or duplicate, or if two tenants share a key.
     """
 
     def __init__(self, tenants: Iterable[Tenant] = ()) -> None:
@@ -53,7 +53,7 @@
             if not tenant.name:
                 raise ValueError(f"tenant {index} has no name")
             if tenant.name in self._by_name:
-                raise ValueError(f"tenant {index}: its name stands twice")
+                raise ValueError(f"tenant {index}: duplicate name")
             self._by_name[tenant.name] = tenant
             for digest in tenant.key_digests:
                 other = self._by_digest.setdefault(digest, tenant)
@@ -61,7 +61,7 @@
                     raise ValueError(f"tenants {other.name} and {tenant.name} share a key")
 
     def __bool__(self) -> bool:
-        """Whether there are tenants, so that requests need a key."""
+        """Whether there are tenants; if so, requests need a key."""
         return bool(self._by_name)
 
     def with_key(self, key: str) -> Tenant | None:
--- a/src/hollowrack/usage/__init__.py
+++ b/src/hollowrack/usage/__init__.py
@@ -1,1 +1,1 @@
-"""Usage: how many requests of each tenant workers began, reported window by window."""
+"""Usage reporting: requests per tenant that workers began, reported per time window."""
--- a/src/hollowrack/usage/counts.py
+++ b/src/hollowrack/usage/counts.py
@@ -1,7 +1,7 @@
-"""Counts of all processes that a node has heard of: they only grow and merge by maximum.
+"""Request counts of all processes, as a grow-only counter that merges by maximum.
 
-So it does not matter how often, in what order and by way of whom counts arrive: nothing is counted
-twice, and a count that one live node holds is not lost with the process that made it.
+Counts may arrive repeatedly, in any order and through any node without being counted twice. A count
+survives the process that made it as long as any live node holds it.
 """
 
 from collections import Counter
@@ -10,21 +10,21 @@
 
 
 class UsageCounts:
-    """Requests by process, window and tenant."""
+    """Number of requests by process, window and tenant."""
 
     def __init__(self) -> None:
         self._counts: dict[str, dict[int, TenantCounts]] = {}
         self._first_window = 0
 
     def add(self, process: str, window: int, tenant: str) -> None:
-        """Count one request; none is counted in a window that is decided."""
+        """Count one request, unless its window has been decided."""
         if window < self._first_window:
             return
         tenants = self._counts.setdefault(process, {}).setdefault(window, {})
         tenants[tenant] = tenants.get(tenant, 0) + 1
 
     def merge(self, other: ProcessCounts) -> None:
-        """Take in what a process has counted, as that process or another one tells it."""
+        """Merge the counts of one process, received from it or from another process."""
         for window, tenants in other.windows.items():
             if window < self._first_window:
                 continue
@@ -33,11 +33,11 @@
                 known[tenant] = max(count, known.get(tenant, 0))
 
     def of(self, process: str) -> ProcessCounts:
-        """Return what is known of one process."""
+        """Return the known counts of one process."""
         return ProcessCounts(process, self._counts.get(process, {}))
 
     def all(self) -> tuple[ProcessCounts, ...]:
-        """Return what is known of all processes."""
+        """Return the known counts of all processes."""
         return tuple(self.of(process) for process in sorted(self._counts))
 
     def totals(self, window: int) -> TenantCounts:
@@ -48,11 +48,11 @@
         return dict(sorted(total.items()))
 
     def first_counted(self) -> int | None:
-        """Return the first window in which anything is counted; ``None`` if there is none."""
+        """Return the first window with a count; ``None`` if there is none."""
         return min((min(windows) for windows in self._counts.values() if windows), default=None)
 
     def forget_before(self, window: int) -> None:
-        """Forget windows that are decided."""
+        """Remove the counts of decided windows; later counts for them are ignored."""
         self._first_window = max(window, self._first_window)
         for process, windows in list(self._counts.items()):
             kept = {number: counts for number, counts in windows.items() if number >= window}
--- a/src/hollowrack/usage/meter.py
+++ b/src/hollowrack/usage/meter.py
@@ -1,4 +1,4 @@
-"""Counts the requests of tenants that workers began by way of this node."""
+"""Counter of the tenants' requests that workers began through this node."""
 
 import asyncio
 
@@ -7,17 +7,17 @@
 
 
 class UsageMeter:
-    """Counts for one process.
+    """Counts requests by tenant and window for one process.
 
     Args:
         process: Name of this process.
-        clock: The time of day.
-        window_s: Length of a window, in seconds; ``None`` where usage is not reported.
+        clock: Time of day, which determines the window of a request.
+        window_s: Length of a window, in seconds; ``None`` if usage is not reported.
 
     Attributes:
-        counts: What this node holds, of other processes as well.
-        num_counted: How many requests were counted.
-        changed: Set whenever one was.
+        counts: The counts known to this node, including those of other processes.
+        num_counted: Number of requests counted by this process.
+        changed: Set whenever a request is counted.
     """
 
     def __init__(self, process: str, clock: WallClock, window_s: float | None) -> None:
@@ -29,15 +29,15 @@
         self._window_s = window_s
 
     def time_s(self) -> float:
-        """Return the time of day at which a request goes to a worker, in seconds since 1970."""
+        """Return the current time of day, in seconds since 1970."""
         return self._clock.time_s()
 
     def note_begun(self, tenant: str | None, begun_s: float) -> None:
-        """A worker has begun a request.
+        """Count a request that a worker has begun.
 
         Args:
-            tenant: Whose it is; requests of nobody are not counted.
-            begun_s: When, as :meth:`time_s` tells it.
+            tenant: The request's tenant; requests without a tenant are not counted.
+            begun_s: When the request was sent to the worker, in terms of :meth:`time_s`.
         """
         if tenant is None or self._window_s is None:
             return
--- a/src/hollowrack/usage/peers.py
+++ b/src/hollowrack/usage/peers.py
@@ -1,4 +1,4 @@
-"""Hands counts of usage to other nodes over HTTP."""
+"""HTTP client and route for usage counts pushed between nodes."""
 
 from collections.abc import Callable
 
@@ -15,36 +15,36 @@
 from hollowrack.usage.types import CountsTaken, ProcessCounts, PushedCounts
 
 PUSH_PATH = "/counts"
-# Nodes are a few milliseconds apart; a node that is silent for longer is frozen or cut off.
+# Nodes are a few milliseconds apart; one that takes longer is frozen or unreachable.
 PUSH_TIMEOUT_S = 0.8
 
 
 class HttpUsagePeers:
-    """Hands counts over; see :class:`UsagePeers`.
+    """Pushes counts over HTTP; see :class:`hollowrack.usage.types.UsagePeers`.
 
     Args:
-        session: HTTP session for nodes.
+        session: HTTP session for requests between nodes.
     """
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self._session = session
 
     async def push(self, address: str, pushed: PushedCounts) -> bool:
-        """Hand counts over."""
+        """Push counts; returns whether the other node acknowledged them."""
         try:
             answer = await ask_node(self._session, address, PUSH_PATH, pushed, PUSH_TIMEOUT_S)
         except (NodeUnreachableError, NodeSilentError) as error:
-            logging.info("usage counts: not taken by the node at %s: %s", address, error)
+            logging.info("usage counts: push to node at %s failed: %s", address, error)
             return False
         return isinstance(answer, CountsTaken)
 
 
 def usage_routes(merge: Callable[[ProcessCounts], None]) -> list[Route]:
-    """Return the route that takes counts of other nodes."""
+    """Return the HTTP route that receives counts of other nodes."""
 
-    async def take(pushed: PushedCounts) -> CountsTaken:
+    async def receive(pushed: PushedCounts) -> CountsTaken:
         for counts in pushed.counts:
             merge(counts)
         return CountsTaken()
 
-    return [question_route(PUSH_PATH, (PushedCounts,), take)]
+    return [question_route(PUSH_PATH, (PushedCounts,), receive)]
--- a/src/hollowrack/usage/reporter.py
+++ b/src/hollowrack/usage/reporter.py
@@ -1,8 +1,8 @@
-"""Decides each window's report once and delivers it, while this node leads.
+"""Reporter of usage, active on the leader: decides each window's report once and delivers it.
 
-A report is written to the coordination store on the condition that nobody has decided its window,
-and only what is written there is delivered. So two leaders cannot deliver two different reports of
-one window, and a new leader delivers again what the one before it may not have delivered.
+A report is written to the coordination store on condition that its window is undecided, and only
+stored reports are delivered. Two leaders therefore cannot deliver different reports of one window,
+and a new leader delivers again what its predecessor may not have delivered.
 """
 
 import asyncio
@@ -20,26 +20,26 @@
 from hollowrack.usage.types import DecidedUsage, UsageClient, WindowReport
 
 LOOK_S = 0.25
-# What a process counts is at the leader within a second; a node that was cut off needs longer.
+# Counts reach the leader within 1 s, or later if a node was disconnected.
 SETTLE_S = 2.5
-# Nodes see a new leader within two looks at the feed, and hand it what they hold.
+# Time for nodes to see a new leader and push their counts to it.
 NEW_LEADER_WAIT_S = 1.5
 RETRY_PAUSE_S = 0.5
-# Reports that are this much older than the newest one are of no use to anybody.
+# Older undelivered reports are dropped.
 MAX_KEPT_REPORTS = 8
 
 
 class UsageReporter:
-    """Reports usage for all nodes.
+    """Reports the usage of all nodes while this node leads.
 
     Args:
         node: This node's name.
         key: Key of the decided windows in the coordination store.
-        store: The coordination store.
+        store: Holds the decided windows.
         leadership: Whether this node may report.
-        meter: Holds the counts, and tells the time of day.
+        meter: Provides the counts and the time of day.
         window_s: Length of a window, in seconds.
-        client: Delivers reports.
+        client: Delivers reports to the platform.
     """
 
     def __init__(
@@ -58,10 +58,10 @@
         self._time_s = meter.time_s
         self._window_s = window_s
         self._client = client
-        self._record = Record(store, key, DecidedUsage, self._forget_decided)
-        self._tenure = Tenure(leadership)
-        # The window in which this node began to lead.
-        self._led_from_window = 0
+        self._record = Record(store, key, DecidedUsage, self._discard_decided)
+        self._term = Tenure(leadership)
+        # The window in which this node became the leader.
+        self._term_start_window = 0
         self._delivered: set[int] = set()
         self._retry_from_s = 0.0
         self._task: asyncio.Task[None] | None = None
@@ -75,10 +75,10 @@
         await cancel_all(self._task)
 
     def take(self, item: StoredItem | None) -> None:
-        """Take in the decided windows as a mirror shows them."""
+        """Update the decided windows from the mirrored item."""
         self._record.take(item)
 
-    def _forget_decided(self, decided: DecidedUsage) -> None:
+    def _discard_decided(self, decided: DecidedUsage) -> None:
         self._counts.forget_before(decided.next_window)
 
     async def _run(self) -> None:
@@ -86,15 +86,15 @@
             await asyncio.sleep(LOOK_S)
             if not self._leadership.may_act:
                 continue
-            if self._tenure.note():
-                self._led_from_window = int(self._time_s() // self._window_s)
+            if self._term.note():
+                self._term_start_window = int(self._time_s() // self._window_s)
                 self._delivered.clear()
-            if self._tenure.age_s >= NEW_LEADER_WAIT_S:
+            if self._term.age_s >= NEW_LEADER_WAIT_S:
                 await self._decide_next()
             await self._deliver()
 
     async def _decide_next(self) -> None:
-        """Decide the oldest window that is open, if it has ended long enough ago."""
+        """Decide the oldest undecided window, if it ended at least ``SETTLE_S`` ago."""
         if not await self._record.is_known():
             return
         decided = self._record.value or DecidedUsage(self._first_window())
@@ -103,8 +103,8 @@
             return
         report = WindowReport(window, self._counts.totals(window))
         kept = [one for one in decided.reports if one.window not in self._delivered]
-        following = DecidedUsage(window + 1, (*kept[1 - MAX_KEPT_REPORTS :], report))
-        is_decided = await self._record.replace(following)
+        updated = DecidedUsage(window + 1, (*kept[1 - MAX_KEPT_REPORTS :], report))
+        is_decided = await self._record.replace(updated)
         logging.info(
             "usage of window %d: %d requests, %s",
             window,
@@ -113,10 +113,10 @@
         )
 
     def _first_window(self) -> int:
-        """The window from which on there are reports: nobody has decided any."""
+        """The first window to report if none has been decided yet."""
         counted = self._counts.first_counted()
-        led_from = self._led_from_window
-        return led_from if counted is None else min(led_from, counted)
+        term_start = self._term_start_window
+        return term_start if counted is None else min(term_start, counted)
 
     async def _deliver(self) -> None:
         """Deliver decided reports, oldest first."""
--- a/src/hollowrack/usage/spreader.py
+++ b/src/hollowrack/usage/spreader.py
@@ -1,7 +1,7 @@
-"""Hands this node's counts to the leader, which reports them, and to one more node.
+"""Replication of this node's usage counts to the leader, which reports them, and to one more node.
 
-A process may end at any moment, so what it has counted leaves it soon. The other node hands what it
-holds to the next leader, so that the loss of the leader loses no count.
+Counts are replicated soon, as a process may end at any time. The second node pushes them to the
+next leader, so that no count is lost with the leader.
 """
 
 import asyncio
@@ -13,22 +13,22 @@
 from hollowrack.usage.meter import UsageMeter
 from hollowrack.usage.types import PushedCounts, UsagePeers
 
-# Requests that begin close together leave by one message.
+# Counts of this time are sent in one message.
 GATHER_S = 0.2
-# A new leader is seen by the node within this time after its entry.
+# Longest time until a new leader is noticed.
 LOOK_S = 0.5
 RETRY_PAUSE_S = 0.5
 
 
 class UsageSpreader:
-    """Keeps a few other nodes informed.
+    """Pushes this process's counts, and to a new leader all known counts, to other processes.
 
     Args:
         process: Name of this process.
-        meter: Holds the counts, and tells when there are more.
-        targets: Returns the processes to be informed, with their addresses.
-        leader: Returns the process that leads, if that is known.
-        peers: Hands counts over.
+        meter: Provides the counts and signals new ones.
+        targets: Returns the addresses of the processes to push to, by process name.
+        leader: Returns the name of the leader's process; ``None`` if unknown.
+        peers: Pushes counts to other nodes.
     """
 
     def __init__(
@@ -44,24 +44,24 @@
         self._meter = meter
         self._targets = targets
         self._leader = leader
-        self._informed_leader: str | None = None
+        self._last_leader: str | None = None
         self._peers = peers
-        # How many of this process's requests each target knows of.
-        self._num_told: dict[str, int] = {}
+        # Number of this process's requests that each target has acknowledged.
+        self._num_pushed: dict[str, int] = {}
         self._retry_from_s: dict[str, float] = {}
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start informing."""
+        """Start pushing counts."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop informing, once what is held has been handed over if that is possible at once."""
+        """Stop after one last attempt to push all counts."""
         await cancel_all(self._task)
-        await self._inform()
+        await self._push_all()
 
     async def abandon(self) -> None:
-        """Stop at once, as a crash would."""
+        """Stop without pushing, as in a crash; for tests."""
         await cancel_all(self._task)
 
     async def _run(self) -> None:
@@ -71,31 +71,31 @@
                     await self._meter.changed.wait()
                     await asyncio.sleep(GATHER_S)
             self._meter.changed.clear()
-            await self._inform()
+            await self._push_all()
 
-    async def _inform(self) -> None:
+    async def _push_all(self) -> None:
         targets = self._targets()
         leader = self._leader()
-        self._num_told = {
+        self._num_pushed = {
             process: number
-            for process, number in self._num_told.items()
-            if process in targets and (process != leader or leader == self._informed_leader)
+            for process, number in self._num_pushed.items()
+            if process in targets and (process != leader or leader == self._last_leader)
         }
-        self._informed_leader = leader
+        self._last_leader = leader
         await asyncio.gather(
-            *(self._tell(process, address) for process, address in targets.items())
+            *(self._push(process, address) for process, address in targets.items())
         )
 
-    async def _tell(self, process: str, address: str) -> None:
+    async def _push(self, process: str, address: str) -> None:
         num_counted = self._meter.num_counted
-        num_told = self._num_told.get(process)
-        if num_told == num_counted or now_s() < self._retry_from_s.get(process, 0.0):
+        num_pushed = self._num_pushed.get(process)
+        if num_pushed == num_counted or now_s() < self._retry_from_s.get(process, 0.0):
             return
-        # A new leader is told all, also of processes that may have ended.
-        is_new = num_told is None
+        # A new target gets all counts, including those of processes that may have ended.
+        is_new = num_pushed is None
         counts = self._counts.all() if is_new else (self._counts.of(self._process),)
         counts = tuple(one for one in counts if one.windows)
         if counts and not await self._peers.push(address, PushedCounts(counts)):
             self._retry_from_s[process] = now_s() + RETRY_PAUSE_S
             return
-        self._num_told[process] = num_counted
+        self._num_pushed[process] = num_counted
--- a/src/hollowrack/usage/types.py
+++ b/src/hollowrack/usage/types.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of usage, and what is kept of it in the coordination store."""
+"""Usage messages between nodes, stored usage records, and interfaces for delivering them."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -12,11 +12,11 @@
 @message("usage.process")
 @dataclass(frozen=True)
 class ProcessCounts:
-    """What one process has counted; it only grows.
+    """The counts of one process; they never decrease.
 
     Attributes:
-        process: Name of the process, unique among all of all nodes.
-        windows: Requests by tenant, for each window.
+        process: Name of the process, unique across nodes and restarts.
+        windows: Number of requests by window and tenant.
     """
 
     process: str
@@ -26,10 +26,10 @@
 @message("usage.push")
 @dataclass(frozen=True)
 class PushedCounts:
-    """Counts that a node hands to another one.
+    """Counts that a node pushes to another one.
 
     Attributes:
-        counts: What processes have counted.
+        counts: The counts, one entry per process.
     """
 
     counts: tuple[ProcessCounts, ...]
@@ -38,17 +38,17 @@
 @message("usage.taken")
 @dataclass(frozen=True)
 class CountsTaken:
-    """The other node holds the counts now."""
+    """Acknowledges pushed counts."""
 
 
 @message("usage.report")
 @dataclass(frozen=True)
 class WindowReport:
-    """The report of one window. Once it is stored it is never changed.
+    """The report of one window; immutable once stored.
 
     Attributes:
         window: Number of the window.
-        counts: Requests by tenant.
+        counts: Number of requests by tenant.
     """
 
     window: int
@@ -58,10 +58,10 @@
 @message("usage.decided")
 @dataclass(frozen=True)
 class DecidedUsage:
-    """Which windows have been decided, as the coordination store keeps it.
+    """Record of the decided windows in the coordination store.
 
     Attributes:
-        next_window: The first window whose report is not decided.
+        next_window: The first undecided window.
         reports: Decided reports that may not have been delivered, oldest first.
     """
 
@@ -70,14 +70,14 @@
 
 
 class UsagePeers(Protocol):
-    """Hands counts to other nodes."""
+    """Pushes counts to other nodes."""
 
     async def push(self, address: str, pushed: PushedCounts) -> bool:
-        """Hand counts over; returns whether the other node holds them for sure."""
+        """Push counts to a node; returns whether it acknowledged them."""
 
 
 class UsageClient(Protocol):
     """Delivers reports to the platform."""
 
     async def report_usage(self, holder: DutyHolder, report: WindowReport) -> DutyOutcome:
-        """Deliver one report; an exact repeat does nothing."""
+        """Deliver one report; an identical repeat has no effect."""
--- a/src/hollowrack/weights/__init__.py
+++ b/src/hollowrack/weights/__init__.py
@@ -1,1 +1,1 @@
-"""Moves workers onto the weight versions that trainers name."""
+"""Weight versions of workers: planning and ordering the loads of announced versions."""
--- a/src/hollowrack/weights/order_giver.py
+++ b/src/hollowrack/weights/order_giver.py
@@ -1,9 +1,9 @@
-"""Gives workers the orders that move them onto named versions, while this node leads.
+"""Reconciler of the workers' weight versions, active on the leader.
 
-Every order names the worker and the number of orders it has taken, as read just before. So an
-order that arrives late, after a newer one, does nothing. A worker that starts again counts its
-orders anew and may take one that was meant for its life before: that counts for nothing here, and
-the new life is ordered by what it reports itself.
+Every order names the worker and the number of orders that it has accepted, as read just before, so
+an order that arrives after a newer one has no effect. A restarted worker counts its orders from
+zero and may accept an order that was meant for its previous incarnation. The outcome of such an
+order is ignored; the new incarnation gets orders according to its own reports.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 LOOK_S = 0.1
 LOAD_DELAY_S = 0.8
-# Reports are read again and again from shortly before a load should be over.
+# Reports are polled from shortly before the expected end of a load.
 FIRST_LOAD_TIME_S = 0.9
 LOAD_TIME_SHARE = 0.9
 UNSEEN_LOAD_SHARE = 0.7
@@ -41,7 +41,7 @@
 
 
 class OrderOutcome(Enum):
-    """What a worker says to an order."""
+    """A worker's answer to an order."""
 
     ACCEPTED = "being done"
     HOLDS_ALREADY = "holds already"
@@ -51,13 +51,13 @@
 
 @dataclass(frozen=True)
 class WorkerReport:
-    """A worker's own account.
+    """The state of a worker, as reported by itself.
 
     Attributes:
-        num_orders: Orders it has taken since its start.
-        is_busy: Whether an order is under way.
-        model_versions: Version of each model it holds.
-        started_ms: When the life that answers started, in milliseconds since 1970; 0 if not told.
+        num_orders: Number of orders accepted since its start.
+        is_busy: Whether it is executing an order.
+        model_versions: Loaded weight version by model.
+        started_ms: Start of the reporting incarnation, in milliseconds since 1970; 0 if unknown.
     """
 
     num_orders: int
@@ -66,20 +66,20 @@
     started_ms: int = 0
 
     def may_be_of(self, life: WorkerLife) -> bool:
-        """Whether a life may have made this report: a start that is not told excludes none."""
+        """Whether an incarnation may have sent this report; an unknown start matches any."""
         is_told = self.started_ms > 0 and life.started_ms > 0
         return not is_told or self.started_ms == life.started_ms
 
 
 @dataclass(frozen=True)
 class VersionOrder:
-    """An order as it goes to a worker.
+    """An order to a worker.
 
     Attributes:
-        move: What is to be held.
-        holder: Name of the one who gives it.
-        fencing_token: Rises with every change of leader.
-        num_orders: Orders the worker must have taken before this one.
+        move: The worker and the version to load.
+        holder: Name of the node that sends the order.
+        fencing_token: The leader's fencing token; it increases with every change of leader.
+        num_orders: Number of accepted orders that the worker must report for this one to apply.
     """
 
     move: VersionMove
@@ -89,25 +89,25 @@
 
 
 class OrderClient(Protocol):
-    """Talks to workers about their weights."""
+    """Reads workers' reports and sends them orders."""
 
     async def report(self, worker: Worker) -> WorkerReport | None:
         """Read a worker's report; ``None`` if it does not answer."""
 
     async def give(self, order: VersionOrder) -> OrderOutcome:
-        """Give an order."""
+        """Send an order to its worker."""
 
 
 class OrderGiver:
-    """Reconciles the workers' versions with the named ones.
+    """Orders workers to load the newest announced versions while this node leads.
 
     Args:
         node: This node's name.
-        leadership: Whether this node may give orders.
-        workers: The workers known.
-        services: Returns the services in force.
-        named_versions: Newest version named of each model.
-        client: Talks to workers.
+        leadership: Whether this node may send orders.
+        workers: The known workers.
+        services: Returns the services of the configuration in force.
+        named_versions: Newest announced version by model; read on every check.
+        client: Reads reports and sends orders.
     """
 
     def __init__(
@@ -128,39 +128,39 @@
         self._confirmed: dict[tuple[WorkerLife, str], int] = {}
         self._moves: dict[WorkerLife, asyncio.Task[None]] = {}
         self._loading: dict[WorkerLife, str] = {}
-        self._load_times_s: deque[float] = deque(maxlen=NUM_LOAD_TIMES_KEPT)
-        self._has_ended = asyncio.Event()
-        self._ripe_from_s: dict[tuple[str, int], float] = {}
+        self._load_durations_s: deque[float] = deque(maxlen=NUM_LOAD_TIMES_KEPT)
+        self._move_ended = asyncio.Event()
+        self._ready_from_s: dict[tuple[str, int], float] = {}
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start giving orders whenever this node leads."""
+        """Start sending orders whenever this node leads."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop giving orders."""
+        """Stop sending orders and waiting for loads."""
         await cancel_all(self._task, *self._moves.values())
 
     async def _run(self) -> None:
         while True:
             await self._pause()
             if self._leadership.may_act:
-                self._start_moves()
+                self._reconcile()
 
     async def _pause(self) -> None:
-        """Wait a moment, or until a move has ended: the next one may begin at once."""
-        self._has_ended.clear()
+        """Wait for the poll interval, or until a move has ended so that the next may start."""
+        self._move_ended.clear()
         try:
             async with asyncio.timeout(LOOK_S):
-                await self._has_ended.wait()
+                await self._move_ended.wait()
         except TimeoutError:
             return
 
-    def _start_moves(self) -> None:
-        self._drop_ended_lives()
+    def _reconcile(self) -> None:
+        self._remove_ended_incarnations()
         self._confirm_entries()
         held = dict(self._confirmed)
-        ripe = {model for model in self._named_versions if self._is_ripe(model)}
+        ready = {model for model in self._named_versions if self._is_ready(model)}
         for service in self._services():
             workers = self._workers.serving(service.name)
             plan = plan_loads(service.models, workers, held)
@@ -170,33 +170,33 @@
                 if model in self._named_versions
             }
             max_concurrent = max_concurrent_loads(len(workers))
-            for move in next_moves(named, ripe, plan, held, self._loading, max_concurrent):
+            for move in next_moves(named, ready, plan, held, self._loading, max_concurrent):
                 self._start_move(move)
 
     def _start_move(self, move: VersionMove) -> None:
-        task = asyncio.create_task(self._carry_out(move))
+        task = asyncio.create_task(self._execute(move))
         self._moves[move.worker.life] = task
         self._loading[move.worker.life] = move.model
-        task.add_done_callback(partial(self._forget, move.worker.life))
+        task.add_done_callback(partial(self._remove_move, move.worker.life))
 
-    def _is_ripe(self, model: str) -> bool:
-        """Whether the newest version was named some time ago.
+    def _is_ready(self, model: str) -> bool:
+        """Whether the newest version was announced at least ``LOAD_DELAY_S`` ago.
 
-        A step is asked for as its version is named, and its items may still use the version before:
-        loads wait until those items are at the workers.
+        A step's items may still use the previous version. Loads are delayed until those items have
+        been sent to workers.
         """
         key = (model, self._named_versions[model])
-        return now_s() >= self._ripe_from_s.setdefault(key, now_s() + LOAD_DELAY_S)
+        return now_s() >= self._ready_from_s.setdefault(key, now_s() + LOAD_DELAY_S)
 
-    def _forget(self, life: WorkerLife, _: asyncio.Task[None]) -> None:
+    def _remove_move(self, life: WorkerLife, _: asyncio.Task[None]) -> None:
         self._moves.pop(life, None)
         self._loading.pop(life, None)
-        self._has_ended.set()
+        self._move_ended.set()
 
-    def _drop_ended_lives(self) -> None:
-        """Forget lives that are over: their loads take no place from those of the new ones."""
+    def _remove_ended_incarnations(self) -> None:
+        """Remove ended incarnations, so that their loads do not count as concurrent loads."""
         for life in list(self._moves):
-            if self._has_started_again(life):
+            if self._has_restarted(life):
                 logging.info("worker %s: its order is dropped, it has started again", life)
                 self._moves.pop(life).cancel()
                 self._loading.pop(life, None)
@@ -204,16 +204,16 @@
             if not self._workers.knows(life):
                 del self._confirmed[life, model]
 
-    def _has_started_again(self, life: WorkerLife) -> bool:
+    def _has_restarted(self, life: WorkerLife) -> bool:
         known = self._workers.get(life.worker_id)
         return known is not None and known.life != life
 
     def _confirm_entries(self) -> None:
-        """Take in what entries tell: within one life versions only rise, so less is old."""
+        """Update from the workers' entries; versions never decrease within one incarnation."""
         for worker in self._workers.all():
             self._confirm_all(worker, worker.model_versions)
 
-    async def _carry_out(self, move: VersionMove) -> None:
+    async def _execute(self, move: VersionMove) -> None:
         report = await self._report(move.worker)
         if report is None:
             await asyncio.sleep(FAILURE_PAUSE_S)
@@ -223,7 +223,7 @@
             return
         if report.model_versions.get(move.model, 0) >= move.version:
             return
-        outcome = await self._give(move, report.num_orders)
+        outcome = await self._send_order(move, report.num_orders)
         if outcome is OrderOutcome.ACCEPTED:
             await self._wait_until_loaded(move)
         elif outcome is OrderOutcome.HOLDS_ALREADY:
@@ -231,7 +231,7 @@
         else:
             await asyncio.sleep(FAILURE_PAUSE_S)
 
-    async def _give(self, move: VersionMove, num_orders: int) -> OrderOutcome:
+    async def _send_order(self, move: VersionMove, num_orders: int) -> OrderOutcome:
         token = self._leadership.fencing_token
         if token is None or not self._leadership.may_act:
             return OrderOutcome.REFUSED
@@ -246,27 +246,27 @@
         )
         return outcome
 
-    def _expected_load_time_s(self) -> float:
-        """The shortest of the latest loads, in seconds."""
-        return min(self._load_times_s, default=FIRST_LOAD_TIME_S)
+    def _expected_load_duration_s(self) -> float:
+        """Duration of the shortest recent load, in seconds."""
+        return min(self._load_durations_s, default=FIRST_LOAD_TIME_S)
 
     async def _wait_until_loaded(self, move: VersionMove) -> None:
-        """Wait for the end of a load that has just begun, and learn how long it took."""
-        given_s = now_s()
-        await asyncio.sleep(LOAD_TIME_SHARE * self._expected_load_time_s())
+        """Wait for the end of a load that has just begun, and record its duration."""
+        sent_s = now_s()
+        await asyncio.sleep(LOAD_TIME_SHARE * self._expected_load_duration_s())
         for num_polls in range(MAX_REPORT_POLLS):
             report = await self._report(move.worker)
             if report is None:
                 return
             if not report.is_busy:
-                # A load that was over before the first look may have been much shorter.
-                share = 1.0 if num_polls else UNSEEN_LOAD_SHARE
-                self._load_times_s.append(share * (now_s() - given_s))
+                # A load that ended before the first poll may have been much shorter.
+                fraction = 1.0 if num_polls else UNSEEN_LOAD_SHARE
+                self._load_durations_s.append(fraction * (now_s() - sent_s))
                 return
             await asyncio.sleep(REPORT_POLL_S)
 
     async def _report(self, worker: Worker) -> WorkerReport | None:
-        """Read and note a worker's report; ``None`` if it does not answer, or in another life."""
+        """Read a worker's report; ``None`` if there is no answer or one of another incarnation."""
         report = await self._client.report(worker)
         if report is None:
             return None
--- a/src/hollowrack/weights/plan.py
+++ b/src/hollowrack/weights/plan.py
@@ -1,4 +1,4 @@
-"""Which worker holds which model, and which of them to move next: pure decisions."""
+"""Placement of models on workers and the order of weight loads, as pure functions."""
 
 from collections import Counter
 from collections.abc import Collection, Mapping, Sequence
@@ -7,27 +7,27 @@
 
 from hollowrack.forwarding.types import Worker, WorkerLife
 
-# Each model is kept current on at least this many workers, so that one may fail.
+# Allows one worker of a model to fail.
 MIN_WORKERS_PER_MODEL = 2
 MIN_CONCURRENT_LOADS = 2
-# Loads slow each other down beyond a number that grows with the workers: about two in five.
+# More concurrent loads than this share of the workers slow each other down.
 CONCURRENT_LOADS_SHARE = 0.4
-# Loads that one place for a load does between two versions: a second each, versions 4 s apart.
+# Loads of one load slot between two versions: a load takes 1 s, versions are 4 s apart.
 NUM_LOADS_IN_TURN = 4
-# Where models share workers, this share of the loads that fit: some fail and are done again.
+# Where models share workers, leaves capacity for repeating failed loads.
 SHARED_LOADS_SHARE = 0.75
-# For each so many holders of a model one more may stay that is not planned.
+# One additional unplanned holder of a model may stay per this many holders.
 INCUMBENTS_PER_SPARE = 6
 # A version serves two steps, so half of the workers may skip each version.
 NUM_STEPS_SERVED = 2
 
-# Version by life of a worker and model.
+# Version by incarnation of a worker and model.
 HeldVersions = Mapping[tuple[WorkerLife, str], int]
 
 
 @dataclass(frozen=True)
 class VersionMove:
-    """An order: a worker is to hold this version of a model."""
+    """A load to start: the worker is to load this version of the model."""
 
     worker: Worker
     model: str
@@ -36,69 +36,70 @@
 
 @dataclass(frozen=True)
 class LoadPlan:
-    """Where models are kept, and on how many of these workers the newest version is wanted.
+    """The workers of each model, and how many of them load each version.
 
     Attributes:
-        holders: Workers that are kept useful for each model.
-        skips_versions: Whether only half of them follow each version.
+        holders: Workers of each model.
+        skips_versions: Whether only half of the holders load each version.
     """
 
     holders: Mapping[str, tuple[Worker, ...]]
     skips_versions: bool
 
     def num_wanted(self, model: str) -> int:
-        """How many holders of a model should hold its newest version."""
+        """Return how many holders of a model should load its newest version."""
         num_holders = len(self.holders.get(model, ()))
         return ceil(num_holders / NUM_STEPS_SERVED) if self.skips_versions else num_holders
 
 
 def max_concurrent_loads(num_workers: int) -> int:
-    """Return how many workers of a service may load at a time."""
+    """Return how many workers of a service may load at the same time."""
     return max(MIN_CONCURRENT_LOADS, round(CONCURRENT_LOADS_SHARE * num_workers))
 
 
 def max_loads_per_version(num_workers: int) -> int:
     """Return how many loads fit between two versions, over all models."""
-    num_places = max(MIN_CONCURRENT_LOADS, CONCURRENT_LOADS_SHARE * num_workers)
-    return int(NUM_LOADS_IN_TURN * num_places)
+    num_load_slots = max(MIN_CONCURRENT_LOADS, CONCURRENT_LOADS_SHARE * num_workers)
+    return int(NUM_LOADS_IN_TURN * num_load_slots)
 
 
 def plan_loads(
     models: Sequence[str], workers: Sequence[Worker], held_versions: HeldVersions
 ) -> LoadPlan:
-    """Plan which workers hold which models.
+    """Assign models to workers.
 
-    Every worker holds every model if the loads fit between two versions, for each version or for
-    every second one. Otherwise each model has as many workers of its own as fit. A model stays
-    where its newest versions are, so that the loss of a worker moves little.
+    Every worker holds every model if all loads fit between two versions, or if they fit when each
+    worker loads every second version. Otherwise each model gets as many workers as loads fit. A
+    model stays on the workers with its newest versions, so that the loss of a worker causes few
+    loads.
     """
     names = sorted(models)
     num_pairs = len(names) * len(workers)
     max_loads = max_loads_per_version(len(workers))
     if num_pairs <= max_loads:
         return LoadPlan({name: tuple(workers) for name in names}, skips_versions=False)
-    share = int(SHARED_LOADS_SHARE * max_loads) * NUM_STEPS_SERVED // len(names)
-    share = min(len(workers), max(MIN_WORKERS_PER_MODEL, share))
+    num_holders = int(SHARED_LOADS_SHARE * max_loads) * NUM_STEPS_SERVED // len(names)
+    num_holders = min(len(workers), max(MIN_WORKERS_PER_MODEL, num_holders))
     if len(names) == 1:
-        share = len(workers)
-    return LoadPlan(_assign(names, workers, held_versions, share), skips_versions=True)
+        num_holders = len(workers)
+    return LoadPlan(_assign(names, workers, held_versions, num_holders), skips_versions=True)
 
 
 def _assign(
-    names: Sequence[str], workers: Sequence[Worker], held_versions: HeldVersions, share: int
+    names: Sequence[str], workers: Sequence[Worker], held_versions: HeldVersions, num_holders: int
 ) -> dict[str, tuple[Worker, ...]]:
-    max_models = ceil(share * len(names) / len(workers))
+    max_models = ceil(num_holders * len(names) / len(workers))
     num_models: Counter[WorkerLife] = Counter()
     assigned: dict[str, list[Worker]] = {}
-    # Those that hold a model already are counted for all models before any gap is filled.
+    # Current holders of all models are counted before missing holders are added.
     for name in names:
-        incumbents = _incumbents(name, workers, held_versions)
-        # A few more than planned, so that the loss of a worker does not move models elsewhere.
-        assigned[name] = incumbents[: share + share // INCUMBENTS_PER_SPARE]
+        current_holders = _current_holders(name, workers, held_versions)
+        # A few more than planned, so that the loss of a worker does not move a model.
+        assigned[name] = current_holders[: num_holders + num_holders // INCUMBENTS_PER_SPARE]
         num_models.update(worker.life for worker in assigned[name])
     for name in names:
         others = [worker for worker in workers if worker not in assigned[name]]
-        while len(assigned[name]) < share:
+        while len(assigned[name]) < num_holders:
             best = min(
                 others,
                 key=lambda worker: (
@@ -113,8 +114,10 @@
     return {name: tuple(holders) for name, holders in assigned.items()}
 
 
-def _incumbents(model: str, workers: Sequence[Worker], held_versions: HeldVersions) -> list[Worker]:
-    """Workers that were kept current for a model, newest version first; none at the beginning."""
+def _current_holders(
+    model: str, workers: Sequence[Worker], held_versions: HeldVersions
+) -> list[Worker]:
+    """Current holders of a model, newest version first; none if all versions are equal."""
     versions = {worker.life: held_versions.get((worker.life, model), 0) for worker in workers}
     newest = max(versions.values())
     if newest == min(versions.values()):
@@ -133,56 +136,60 @@
 ) -> list[VersionMove]:
     """Return the moves to start now.
 
-    A worker that holds the version before the named one may still serve the step in progress, and
-    it refuses new runs while it loads. Such workers are moved only once the model is ripe, half of
-    them at a time. Workers that are further behind serve nothing: they are moved first, at once.
+    A worker with the version before the announced one may still serve the step in progress, and it
+    refuses new runs while it loads. Such workers are moved only once the model is ready, at most
+    half of them at the same time. Workers that are further behind cannot serve: they are moved
+    first and without delay.
 
     Args:
-        named_versions: Newest version named of each model.
-        ripe_models: Models whose current workers may be moved on.
-        plan: Where models are kept.
-        held_versions: Versions as far as known.
-        loading: The model that each worker is loading, by its life.
-        max_concurrent: Most workers loading at a time.
+        named_versions: Newest announced version by model.
+        ripe_models: Models whose workers with the previous version may be moved.
+        plan: Assignment of models to workers.
+        held_versions: Known loaded versions.
+        loading: The model being loaded, by incarnation of the worker.
+        max_concurrent: Maximum number of workers that load at the same time.
     """
     moves: list[VersionMove] = []
-    taken = set(loading)
-    loaded_by_model = Counter(loading.values())
-    for is_useful, model, worker in _behind(named_versions, plan.holders, held_versions):
-        if len(taken) >= max_concurrent:
+    busy = set(loading)
+    num_loading_by_model = Counter(loading.values())
+    for can_serve, model, worker in _outdated_workers(named_versions, plan.holders, held_versions):
+        if len(busy) >= max_concurrent:
             break
         num_holders = len(plan.holders[model])
-        num_ahead = loaded_by_model[model] + sum(
+        num_ahead = num_loading_by_model[model] + sum(
             held_versions.get((holder.life, model), 0) >= named_versions[model]
             for holder in plan.holders[model]
         )
-        may_move = not is_useful or (
+        may_move = not can_serve or (
             model in ripe_models
-            and loaded_by_model[model] < max(1, num_holders // 2)
+            and num_loading_by_model[model] < max(1, num_holders // 2)
             and num_ahead < plan.num_wanted(model)
         )
-        if worker.life in taken or not may_move:
+        if worker.life in busy or not may_move:
             continue
-        taken.add(worker.life)
-        loaded_by_model[model] += 1
+        busy.add(worker.life)
+        num_loading_by_model[model] += 1
         moves.append(VersionMove(worker, model, named_versions[model]))
     return moves
 
 
-def _behind(
+def _outdated_workers(
     named_versions: Mapping[str, int],
     holders: Mapping[str, tuple[Worker, ...]],
     held_versions: HeldVersions,
 ) -> list[tuple[bool, str, Worker]]:
-    """Workers behind, as (still useful, model, worker): useless ones and bare models first."""
+    """Workers without the newest version, as (can serve, model, worker).
+
+    Workers that cannot serve come first, then models with the fewest workers that can.
+    """
     entries: list[tuple[tuple[bool, int, str, WorkerLife], tuple[bool, str, Worker]]] = []
     for model, version in named_versions.items():
         versions = [held_versions.get((worker.life, model), 0) for worker in holders.get(model, ())]
-        num_useful = sum(held >= version - 1 for held in versions)
+        num_serving = sum(held >= version - 1 for held in versions)
         for worker, held in zip(holders.get(model, ()), versions, strict=True):
             if held < version:
-                is_useful = held >= version - 1
-                order = (is_useful, num_useful, model, worker.life)
-                entries.append((order, (is_useful, model, worker)))
+                can_serve = held >= version - 1
+                rank = (can_serve, num_serving, model, worker.life)
+                entries.append((rank, (can_serve, model, worker)))
     entries.sort(key=lambda entry: entry[0])
     return [entry for _, entry in entries]
