--- a/src/hollowrack/backoff.py
+++ b/src/hollowrack/backoff.py
@@ -1,4 +1,4 @@
-"""Pauses between attempts that grow while the attempts fail."""
+"""Exponential backoff with jitter."""
 
 import random
 
@@ -7,11 +7,11 @@
 
 
 class Backoff:
-    """Pauses that double from a first to a longest one, with jitter, until a success resets them.
+    """Delays that double from an initial to a maximum value, with jitter, until they are reset.
 
     Args:
-        first_s: Longest first pause, in seconds.
-        max_s: Longest pause, in seconds.
+        first_s: Upper limit of the first delay, in seconds.
+        max_s: Upper limit of all delays, in seconds.
         rng: Source of the jitter.
     """
 
@@ -22,11 +22,11 @@
         self._next_s = first_s
 
     def reset(self) -> None:
-        """An attempt succeeded: begin again with the first pause."""
+        """Start again with the first delay, after a successful attempt."""
         self._next_s = self._first_s
 
     def next_pause_s(self) -> float:
-        """Return how long to pause after one more failure, in seconds."""
-        pause_s = self._next_s
-        self._next_s = min(self._max_s, GROWTH * pause_s)
-        return pause_s * self._rng.uniform(MIN_JITTER, 1.0)
+        """Return the delay after another failed attempt, in seconds."""
+        delay_s = self._next_s
+        self._next_s = min(self._max_s, GROWTH * delay_s)
+        return delay_s * self._rng.uniform(MIN_JITTER, 1.0)
--- a/src/hollowrack/clock.py
+++ b/src/hollowrack/clock.py
@@ -1,7 +1,7 @@
 """The clock of the running event loop.
 
-All timing goes through the loop, so that the same code runs on real time in the daemon and on
-virtual time in tests and in the bench.
+All timing uses the loop's clock, so that the same code runs in real time in production and in
+virtual time in tests and benchmarks.
 """
 
 import asyncio
--- a/src/hollowrack/edge_connections.py
+++ b/src/hollowrack/edge_connections.py
@@ -1,4 +1,4 @@
-"""What connects an edge node to the outside."""
+"""Clients and settings that connect an edge node to other systems."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -16,18 +16,18 @@
 from hollowrack.weights.order_giver import OrderClient
 
 DEFAULT_KEEP_ENDED_S = 300.0
-# The shortest that the platform's deployments have.
+# The shortest propagation limit of the platform's deployments.
 DEFAULT_CHANGE_BOUND_S = 2.0
 
 
 @dataclass(frozen=True)
 class UsageConnections:
-    """What reporting usage takes.
+    """Clients and settings for usage reporting.
 
     Attributes:
         window_s: Length of a window, in seconds.
-        peers: Hands counts to other nodes.
-        client: Delivers reports.
+        peers: Pushes counts to other nodes.
+        client: Delivers reports to the platform.
         time_of_day_s: Returns the machine's time of day, in seconds since 1970.
     """
 
@@ -39,26 +39,26 @@
 
 @dataclass(frozen=True)
 class EdgeConnections:
-    """What connects the node to the outside.
+    """Clients and settings of an edge node.
 
     Attributes:
-        store: The coordination store.
+        store: Direct access to the coordination store.
         back_ends: Sends requests to workers.
-        orders: Talks to workers about their weights.
-        read_version: Reads the weight version that an event announces.
-        peer_jobs: Hands jobs to other nodes.
-        address: Where other nodes reach this one; empty if they do not.
-        num_cores: Processor time this node has, in cores.
+        orders: Reads workers' reports and sends them weight orders.
+        read_version: Returns the weight version that a stream event announces, if any.
+        peer_jobs: Sends jobs to other nodes.
+        address: Address of this node for other nodes; empty if it is not reachable.
+        num_cores: CPU cores of this node.
         keep_ended_s: How long an ended job is kept, in seconds.
-        change_bound_s: How long changes of routes and workers may take to reach this node, in
-            seconds.
-        complete_retirement: Tells the operators that a machine is empty.
+        change_bound_s: Propagation limit of changes of routes and workers, in seconds.
+        complete_retirement: Confirms to the operators that a machine is empty; returns whether that
+            certainly succeeded.
         feed: Sends watches to other nodes.
-        relay: Sends calls to the store by way of other nodes.
-        seeds: Addresses of a few nodes, which may be down.
-        usage: What reporting usage takes; ``None`` where it is not reported.
-        capacity: Gives orders of capacity; ``None`` where none are given.
-        slots: Reports to other nodes on slots of workers; ``None`` where these are not shared.
+        relay: Sends store calls to other nodes.
+        seeds: Addresses of a few nodes to contact before any node is known; they may be down.
+        usage: Usage reporting; ``None`` if usage is not reported.
+        capacity: Sends capacity orders; ``None`` if capacity is not ordered.
+        slots: Sends slot reports to other nodes; ``None`` if slots are not shared.
     """
 
     store: CoordinationStore
--- a/src/hollowrack/edge_node.py
+++ b/src/hollowrack/edge_node.py
@@ -1,7 +1,7 @@
-"""A node without durable memory of its own: it forwards, runs jobs and may lead.
+"""The edge node: a stateless node that forwards requests, runs jobs and may become the leader.
 
-Everything that must outlive it is kept in the coordination store. The node is symmetric to all
-others; whoever holds the leader key gives orders to workers and takes over jobs without an owner.
+All durable state is kept in the coordination store, and all nodes are equal. The leader also sends
+orders to workers and takes over jobs without an owner.
 """
 
 import asyncio
@@ -54,13 +54,13 @@
 LIVE_PACE_S = 0.2
 LIVE_WAIT_S = 5.0
 REGISTER_PAUSE_S = 0.2
-# A process that says so is stopping: it should own no further job.
+# Announced by a process that is stopping, so that it gets no further jobs.
 NO_CORES = 0.0
 ANNOUNCE_TIMEOUT_S = 0.5
-# At a planned stop callers need this long to turn away, if there is as much time.
+# Time for callers to switch to other nodes at a planned stop.
 MAX_TURN_AWAY_S = 3.5
 TURN_AWAY_SHARE = 0.45
-# Owned jobs have longer: what an item has generated is lost if it is left.
+# Longer, as the output of unfinished items is lost.
 MAX_FINISH_S = 10.0
 FINISH_SHARE = 0.65
 MAX_HAND_OVER_S = 0.6
@@ -68,24 +68,26 @@
 
 
 class EdgeNode:
-    """The node's parts, joined; it is also the listener of the platform's feed.
+    """Creates, connects, starts and stops the components of a node.
+
+    It is also the listener of the platform's feed.
 
     Args:
-        name: Its name.
-        zone: Its zone.
-        handover_s: How long a new leader waits before it gives orders, in seconds.
-        connections: What connects it to the outside.
+        name: Name of the node.
+        zone: Name of the node's zone.
+        handover_s: How long a new leader waits before it sends orders, in seconds.
+        connections: Clients and settings for everything outside the process.
         rng: Source of all random choices.
 
     Attributes:
-        owner: Name of this process among all of all nodes.
+        owner: Name of this incarnation, unique across nodes and restarts.
         is_stopping: Whether a planned stop has begun.
-        store: The coordination store, by way of other nodes if it does not serve this one.
-        feed_client: Asks other nodes for changes.
-        usage: Counts the requests of tenants that workers began.
-        quarantine: Keeps requests that end their workers from further workers.
+        store: The coordination store, with relaying through other nodes.
+        feed_client: Sends watches to other nodes.
+        usage: Counts the tenants' requests that workers began.
+        quarantine: Blocks requests that repeatedly crash workers.
         slots: Shares the slots of workers with other nodes.
-        may_follow: Set once what operators and workers write may be followed.
+        may_follow: Set once the mirrors of the operators' and workers' keys may be started.
     """
 
     def __init__(
@@ -101,7 +103,7 @@
         self.owner = owner_name(name, uuid.UUID(int=rng.getrandbits(128)).hex)
         self.is_stopping = False
         store = RelayingStore(connections.store, connections.relay, self.neighbour_addresses, rng)
-        store.direct_failure_listeners.append(self._rewatch_live)
+        store.direct_failure_listeners.append(self._restart_live_watch)
         self.store = store
         self.routes = RouteTable(lambda: self.configuration_age_s)
         self.workers = WorkerDirectory(zone, rng)
@@ -114,7 +116,7 @@
         self._load_log = LoadLog(self.queue)
         self.session = Session(store, rng)
         self.leadership = Leadership(store, self.session, LEADER_KEY, self.owner, handover_s, rng)
-        self._named_versions: dict[str, int] = {}
+        self._target_versions: dict[str, int] = {}
         self.services = ItemServices(
             self.routes,
             self.workers,
@@ -150,22 +152,22 @@
             self._feed_sources,
             self._store_access,
         )
-        self.shared_store.source_listeners.append(self._rewatch_live)
-        self.shared_store.recovery_listeners.append(self._wake_live)
+        self.shared_store.source_listeners.append(self._restart_live_watch)
+        self.shared_store.recovery_listeners.append(self._retry_live_mirror)
         self._suspects = SuspectSharing(
             SUSPECTS_PREFIX, store, self.quarantine.register, self.leadership, rng
         )
         self._live_mirror = PrefixMirror(
             self.shared_store,
             LIVE_PREFIX,
-            self._on_live_key,
+            self._on_live_change,
             LIVE_PACE_S,
             rng,
             LIVE_WAIT_S,
             rests_on_sentinel=True,
         )
         num_hosts = num_hosts_per_zone(connections.change_bound_s)
-        # Where few nodes hold sessions, those are seen first: the rest is asked of them.
+        # Where only some nodes hold sessions, these must be known first, as they are the sources.
         self.may_follow = asyncio.Event() if num_hosts is None else self._live_mirror.is_loaded
         if num_hosts is None:
             self.may_follow.set()
@@ -190,15 +192,15 @@
             self._live_mirror.is_loaded,
         )
         self._retention = JobRetention(log, self.live, self.leadership, connections.keep_ended_s)
-        self._order_giver = OrderGiver(
+        self._version_reconciler = OrderGiver(
             name,
             self.leadership,
             self.workers,
             self.routes.services,
-            self._named_versions,
+            self._target_versions,
             connections.orders,
         )
-        self._duties = NodeDuties(
+        self._leader_duties = NodeDuties(
             name,
             self.owner,
             store,
@@ -222,49 +224,49 @@
         )
         self._rng = rng
         self._retirement = MachineRetirement(self.leadership, connections.complete_retirement)
-        self._finish_by_s = 0.0
+        self._drain_deadline_s = 0.0
         self._hand_over_s = 0.0
         self._tasks: list[asyncio.Task[None]] = []
 
-    # -- life -------------------------------------------------------------------------------
+    # -- lifecycle --------------------------------------------------------------------------
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether the node accepts callers' requests."""
         return self.routes.version is not None and not self.is_stopping
 
     @property
     def configuration_age_s(self) -> float:
-        """How long ago the store confirmed what this node knows of it, in seconds."""
+        """Time since the store last confirmed the known configuration, in seconds."""
         return now_s() - self.shared_store.heard_s(self.shared_store.sentinel_prefix)
 
     @property
     def may_lack_changes(self) -> bool:
-        """Whether the configuration known may be older than changes may be on their way."""
+        """Whether the known configuration is older than the propagation limit of changes."""
         return self.configuration_age_s > self._change_bound_s
 
     def start(self) -> None:
-        """Start all parts."""
+        """Start all components."""
         self._host_role.start()
         self._live_mirror.start()
         self.leadership.start()
         self._takeover.start()
         self._retention.start()
         self._retirement.start()
-        self._order_giver.start()
-        self._duties.start()
+        self._version_reconciler.start()
+        self._leader_duties.start()
         self._suspects.start()
         self.slots.start()
         self._tasks = [
             asyncio.create_task(self._keep_registered()),
-            asyncio.create_task(self._note_first_leader()),
+            asyncio.create_task(self._load_leader_key()),
             asyncio.create_task(self._load_log.run()),
         ]
 
     async def turn_away(self, grace_s: float) -> None:
-        """Begin a planned stop: be not ready, hand leadership over, let callers turn away.
+        """Begin a planned stop: report not ready, resign, and wait for callers to switch nodes.
 
-        Owned jobs go on; :meth:`finish` ends them.
+        Owned jobs go on; :meth:`finish` drains them.
 
         Args:
             grace_s: Time until the process is killed, in seconds; less than half of it is used.
@@ -275,8 +277,8 @@
         self.jobs.refuse_new()
         self._num_cores = NO_CORES
         await self._host_role.stop()
-        await self._order_giver.stop()
-        await self._duties.stop_calls()
+        await self._version_reconciler.stop()
+        await self._leader_duties.stop_calls()
         await self._takeover.stop()
         await self._retention.stop()
         await self._retirement.stop()
@@ -284,27 +286,27 @@
         await self._announce_stop()
         turn_away_s = min(MAX_TURN_AWAY_S, TURN_AWAY_SHARE * grace_s)
         await asyncio.sleep(max(0.0, started_s + turn_away_s - now_s()))
-        self._finish_by_s = started_s + min(MAX_FINISH_S, FINISH_SHARE * grace_s)
+        self._drain_deadline_s = started_s + min(MAX_FINISH_S, FINISH_SHARE * grace_s)
         self._hand_over_s = min(MAX_HAND_OVER_S, HAND_OVER_SHARE * grace_s)
 
     async def finish(self) -> None:
-        """End a planned stop: owned jobs have the rest of their time, then they are left."""
-        await self.jobs.drain(self._finish_by_s - now_s(), self._hand_over_s)
-        await self._duties.stop()
+        """Complete a planned stop: drain owned jobs until their deadline, then release them."""
+        await self.jobs.drain(self._drain_deadline_s - now_s(), self._hand_over_s)
+        await self._leader_duties.stop()
         await self._suspects.stop()
         await self.slots.stop()
         await cancel_all(*self._tasks)
         await self._live_mirror.stop()
-        # A lease that the store does not end now ends by itself.
+        # If the call fails, the lease expires.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._hand_over_s):
                 await self.session.stop()
 
     async def abandon(self) -> None:
-        """End at once, as a crash would; for tests."""
+        """Stop at once, as in a crash; for tests."""
         await self._host_role.stop()
-        await self._order_giver.stop()
-        await self._duties.abandon()
+        await self._version_reconciler.stop()
+        await self._leader_duties.abandon()
         await self._suspects.stop()
         await self.slots.abandon()
         await self._takeover.stop()
@@ -317,28 +319,28 @@
         await self.session.abandon()
 
     def peer_addresses(self) -> list[str]:
-        """Where other nodes are reached: the leader first, the others in any order."""
+        """Return the addresses of other nodes: the leader's first, the others shuffled."""
         leader = self.live.leader_address()
         rest = [address for address in self.live.peer_addresses() if address != leader]
         self._rng.shuffle(rest)
         return [leader, *rest] if leader is not None else rest
 
     def shared_mirrors(self) -> dict[str, PrefixMirror]:
-        """Return the mirrors from which this node answers others while it leads, by prefix."""
+        """Return the mirrors that answer other nodes' watches, by prefix."""
         return {LIVE_PREFIX: self._live_mirror}
 
     # -- listener of the feed ---------------------------------------------------------------
 
     def configuration_changed(self, configuration: RoutingConfiguration) -> None:
-        """Put a configuration in force."""
+        """Apply a configuration."""
         self.routes.apply(configuration)
 
     def worker_changed(self, worker: Worker) -> None:
-        """Take in a worker's state."""
+        """Add or update a worker."""
         self.workers.put(worker)
 
     def worker_gone(self, worker_id: str) -> None:
-        """Forget a worker."""
+        """Remove a worker."""
         worker = self.workers.get(worker_id)
         self.workers.remove(worker_id)
         if worker is not None and not self.workers.serving(worker.service):
@@ -349,25 +351,25 @@
             )
 
     def version_named(self, model: str, version: int) -> None:
-        """Take in a named version; versions only rise."""
-        self._named_versions[model] = max(version, self._named_versions.get(model, 0))
+        """Record the target weight version of a model; a lower version than known is ignored."""
+        self._target_versions[model] = max(version, self._target_versions.get(model, 0))
 
     def retirement_asked(self, node: str) -> None:
-        """Note that a machine is to be emptied."""
+        """Record that the operators want to retire a machine."""
         self._retirement.ask(node)
 
     def take_usage(self, counts: ProcessCounts) -> None:
-        """Take in what another node hands over of usage."""
+        """Merge usage counts from another node."""
         self.usage.counts.merge(counts)
 
     def store_doubted(self) -> None:
-        """Look again at all that is watched."""
+        """List again, as watches may have missed changes."""
         self._live_mirror.recheck()
 
     # -- loops ------------------------------------------------------------------------------
 
     async def _keep_registered(self) -> None:
-        """Keep this node's name in the store under its session."""
+        """Keep this node's entry in the store under the current session."""
         registered_lease: int | None = None
         while True:
             changed = self.session.changed
@@ -380,7 +382,7 @@
                 await asyncio.sleep(REGISTER_PAUSE_S)
 
     async def _announce_stop(self) -> None:
-        """Tell the others that no further job should go here, if the store answers soon."""
+        """Announce that this node takes no further jobs, if the store answers in time."""
         if self.session.lease is None:
             return
         with contextlib.suppress(TimeoutError):
@@ -388,31 +390,31 @@
                 await self._register(self.session.lease)
 
     async def _register(self, lease: int) -> bool:
-        """Write what this node says of itself; returns whether that is certain."""
+        """Write this node's entry; returns whether that certainly succeeded."""
         put = Put(OWNERS_PREFIX + self.owner, codec.encode(self._entry()), lease)
         outcome = await self.store.transact([], [put])
         return isinstance(outcome, Committed)
 
     def _entry(self) -> NodeEntry:
-        """What this node says of itself."""
+        """This node's entry in the store."""
         return NodeEntry(self._address, self._num_cores, self._zone)
 
-    async def _note_first_leader(self) -> None:
-        """Before the first change there is none to hear of: look who leads, if anybody does."""
+    async def _load_leader_key(self) -> None:
+        """Read the leader key after the first listing, which reports no absent key."""
         await self._live_mirror.is_loaded.wait()
         self.leadership.note(self._live_mirror.items.get(LEADER_KEY))
 
     # -- mirrors ----------------------------------------------------------------------------
 
     def _feed_sources(self) -> list[str]:
-        """Which nodes to ask for changes: the leader, or for a node without a session a host."""
+        """Addresses to send watches to: the leader's, or hosts' if this node has no session."""
         if not self.session.is_held:
             return self.live.observer_sources()
         leader = self.live.leader_address()
         return [] if leader is None else [leader]
 
     def neighbour_addresses(self) -> list[str]:
-        """Where other nodes are reached that may help this one, in any order."""
+        """Return the addresses of other nodes, shuffled; seeds if no node is known."""
         addresses = self.live.peer_addresses() or [
             seed for seed in self._seeds if seed != self._address
         ]
@@ -424,14 +426,14 @@
             return StoreAccess.LEADER
         return StoreAccess.FOLLOWER if self.session.is_held else StoreAccess.OBSERVER
 
-    def _on_live_key(self, key: str, item: StoredItem | None) -> None:
-        if not self._duties.take(key, item) and not self._suspects.take(key, item):
+    def _on_live_change(self, key: str, item: StoredItem | None) -> None:
+        if not self._leader_duties.take(key, item) and not self._suspects.take(key, item):
             self.live.take(key, item)
 
-    def _wake_live(self) -> None:
+    def _retry_live_mirror(self) -> None:
         self._live_mirror.wake()
 
-    def _rewatch_live(self) -> None:
+    def _restart_live_watch(self) -> None:
         self._live_mirror.rewatch()
 
     def _on_job_owned(self, job: OpenJob) -> None:
--- a/src/hollowrack/group_kinds.py
+++ b/src/hollowrack/group_kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of replicated groups that a node runs, told apart by the beginnings of their names."""
+"""Kinds of replicated groups, identified by the prefixes of their names."""
 
 from hollowrack.engines.controller import NoState, zone_of_group
 from hollowrack.replication.placement import GroupPlacement
@@ -10,10 +10,10 @@
 
 
 def make_state_machine(group: str) -> StateMachine:
-    """Return the initial state of a group by the prefix of its name.
+    """Return the state machine of a group in its initial state.
 
     Raises:
-        ValueError: If no kind of group has such a name.
+        ValueError: If the name has no known prefix.
     """
     if group.startswith(RUN_GROUP_PREFIX):
         return SampleLedger()
@@ -25,9 +25,9 @@
 
 
 def placement_of(group: str) -> GroupPlacement:
-    """Return how a group wants to be placed.
+    """Return the placement constraints of a group.
 
-    Every group survives two losses at once. A zone's engine group stays near its engines, and is as
-    large as the others: without a leader no engine gets new weights, and training stops.
+    Every group tolerates two simultaneous failures. A zone's engine group is placed in its zone and
+    has the same size: without a leader no engine would load new weights, and training would stop.
     """
     return GroupPlacement(preferred_zone=zone_of_group(group))
--- a/src/hollowrack/node_duties.py
+++ b/src/hollowrack/node_duties.py
@@ -1,4 +1,4 @@
-"""The calls that one node makes for all, as far as a deployment asks for them."""
+"""The leader's calls to the platform, as far as the deployment has them configured."""
 
 import time
 
@@ -18,11 +18,11 @@
 
 
 def usage_meter(owner: str, usage: UsageConnections | None) -> UsageMeter:
-    """Return what counts the requests that go by way of a node.
+    """Create the meter of the requests sent through a node.
 
     Args:
-        owner: Name of the node's process.
-        usage: What reporting usage takes; ``None`` where it is not reported.
+        owner: Name of the node's incarnation.
+        usage: Usage reporting; ``None`` if usage is not reported.
     """
     if usage is None:
         return UsageMeter(owner, WallClock(time.time, now_s), None)
@@ -30,19 +30,19 @@
 
 
 class NodeDuties:
-    """Reports of usage and orders of capacity of one node, while it leads.
+    """Runs usage reporting and capacity orders of one node.
 
     Args:
         node: Name of the node.
-        owner: Name of its process.
-        store: The coordination store.
-        leadership: Whether the node may make such calls.
-        live: The live processes, as this node sees them.
-        routes: The routes in force.
-        workers: The workers known.
-        meter: Counts the requests that go by way of this node.
-        usage: What reporting usage takes; ``None`` where it is not reported.
-        capacity: Gives orders of capacity; ``None`` where none are given.
+        owner: Name of the node's incarnation.
+        store: Holds the records of decided usage and planned capacity.
+        leadership: Whether the node may make calls to the platform.
+        live: The live processes, as seen by this node.
+        routes: Provides the services in force.
+        workers: The known workers.
+        meter: Counts the requests sent through this node.
+        usage: Usage reporting; ``None`` if usage is not reported.
+        capacity: Sends capacity orders; ``None`` if capacity is not ordered.
     """
 
     def __init__(
@@ -58,11 +58,11 @@
         usage: UsageConnections | None,
         capacity: CapacityClient | None,
     ) -> None:
-        self._spreader: UsageSpreader | None = None
+        self._replicator: UsageSpreader | None = None
         self._reporter: UsageReporter | None = None
         self._capacity: CapacityDuty | None = None
         if usage is not None:
-            self._spreader = UsageSpreader(
+            self._replicator = UsageSpreader(
                 owner, meter, live.leader_and_deputy, live.leader, usage.peers
             )
             self._reporter = UsageReporter(
@@ -80,31 +80,31 @@
             )
 
     def start(self) -> None:
-        """Start making calls whenever the node leads."""
-        for duty in (self._spreader, self._reporter, self._capacity):
+        """Start replicating counts, and making calls whenever the node leads."""
+        for duty in (self._replicator, self._reporter, self._capacity):
             if duty is not None:
                 duty.start()
 
     async def stop_calls(self) -> None:
-        """Make no further calls; counts still go to the other nodes."""
+        """Stop calls to the platform; counts are still pushed to other nodes."""
         for duty in (self._reporter, self._capacity):
             if duty is not None:
                 await duty.stop()
 
     async def stop(self) -> None:
-        """Stop, and hand over what has been counted."""
+        """Stop, and push the remaining counts to other nodes."""
         await self.stop_calls()
-        if self._spreader is not None:
-            await self._spreader.stop()
+        if self._replicator is not None:
+            await self._replicator.stop()
 
     async def abandon(self) -> None:
-        """Stop at once, as a crash would; for tests."""
+        """Stop at once, as in a crash; for tests."""
         await self.stop_calls()
-        if self._spreader is not None:
-            await self._spreader.abandon()
+        if self._replicator is not None:
+            await self._replicator.abandon()
 
     def take(self, key: str, item: StoredItem | None) -> bool:
-        """Take in a key of the live state; returns whether it is one of the duties'."""
+        """Process a change of a live-state key; returns whether the key belongs to a duty."""
         if key == USAGE_KEY:
             if self._reporter is not None:
                 self._reporter.take(item)
--- a/src/hollowrack/results.py
+++ b/src/hollowrack/results.py
@@ -1,9 +1,8 @@
-"""Numbered result codes shared by every face of the system.
+"""Numbered result codes of all interfaces of the system.
 
-Each code states three things a caller needs: whether the request may have run, whether repeating
-it is useful, and how the code appears over HTTP and as a process exit status. The table in
-``docs/RESULT_CODES.md`` is generated from this module (``hollowrack codes``) and a test compares
-the two.
+Each code states whether the request may have run, whether to repeat it, and the HTTP status and
+process exit status it maps to. The table in ``docs/RESULT_CODES.md`` is generated from this module
+(``hollowrack codes``); a test compares the two.
 """
 
 from collections.abc import Awaitable
@@ -17,7 +16,7 @@
 
 
 class Execution(Enum):
-    """What a result code says about the execution of the request it answers."""
+    """Whether the request answered with a result code has been executed."""
 
     NOT_RUN = "no"
     UNKNOWN = "maybe"
@@ -115,13 +114,13 @@
 
 @dataclass(frozen=True)
 class CodeDescription:
-    """What one result code means.
+    """Description of one result code.
 
     Attributes:
-        execution: Whether the request may have run.
-        repeat: Whether repeating the request is useful.
-        http_status: HTTP status that carries the code.
-        meaning: One sentence for the table.
+        execution: Whether the request may have been executed.
+        repeat: Whether the request may be sent again.
+        http_status: HTTP status of responses with the code.
+        meaning: One sentence for the table of codes.
         remedy: What the receiver can do about it.
     """
 
@@ -415,7 +414,7 @@
     ),
 }
 
-# Exit statuses are one byte wide; a code's hundreds digit keeps the group visible to scripts.
+# Exit statuses are limited to one byte; the group of a code can be derived from them.
 _EXIT_STATUS_GROUP_WIDTH = 20
 _CODE_GROUP_WIDTH = 100
 
@@ -431,13 +430,13 @@
 
 @dataclass(frozen=True)
 class Problem:
-    """A numbered failure that names its place and the way out.
+    """An error with a result code, its location and a remedy.
 
     Attributes:
         code: The result code.
         detail: What is wrong, in one sentence.
-        place: Where: a settings key, a field, a file, a peer. Empty if there is none.
-        retry_after_s: When to come back, in seconds, if that is known.
+        place: Location of the error: a settings key, a field, a file or a peer; empty if none.
+        retry_after_s: Time after which to retry, in seconds; ``None`` if unknown.
     """
 
     code: ResultCode
@@ -467,7 +466,7 @@
     """Return the value of a successful result.
 
     Raises:
-        ProblemError: With the problem of a failed one.
+        ProblemError: If the result is a failure; it contains the problem.
     """
     if isinstance(result, Failure):
         raise ProblemError(result.failure())
--- a/src/hollowrack/suspension.py
+++ b/src/hollowrack/suspension.py
@@ -1,9 +1,8 @@
-"""Time that passes while the machine is suspended.
+"""An event loop clock that includes suspensions of the machine, and detection of suspensions.
 
-The steady clock stands still while a machine is suspended, and other machines' clocks do not: a
-lease that the store ended seconds ago would pass for held, and what was heard seconds ago for new.
-So the event loop, and with it every age, lease and deadline, keeps to the clock that goes on
-meanwhile. A suspension is then what a frozen process is: time in which nothing was done.
+The monotonic clock stops while a machine is suspended, so an expired lease would appear valid and
+old data current after a resume. The event loop, and with it every age, lease and deadline,
+therefore uses the boot-time clock. A suspension then has the same effects as a frozen process.
 """
 
 import asyncio
@@ -15,24 +14,23 @@
 
 from hollowrack.tasks import cancel_all
 
-# How often the two clocks are compared, in seconds.
 LOOK_S = 0.5
-# Both clocks are read within microseconds of each other; a suspension takes far longer.
+# Far longer than the time between the readings of the two clocks.
 MIN_SUSPENSION_S = 0.1
 
 Outcome = TypeVar("Outcome")
 
 
 def boot_time_s() -> float:
-    """Return the time since the machine's start, suspensions included, in seconds."""
+    """Return the time since boot including suspensions, in seconds."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class BootTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock goes on while the machine is suspended.
+    """An event loop whose clock advances while the machine is suspended.
 
-    Timers that became due meanwhile run when the machine wakes, once the wait that it interrupted
-    ends; what asks for the time before that is told the true one.
+    Timers that became due meanwhile run after the resume, once the interrupted wait ends. The time
+    is correct immediately after the resume.
 
     Args:
         clock_s: Returns the time, in seconds.
@@ -48,26 +46,26 @@
 
 
 def new_event_loop() -> asyncio.AbstractEventLoop:
-    """Return a loop on the clock that counts suspensions, where the system has one."""
+    """Return a :class:`BootTimeLoop`, or the default loop if the system has no boot-time clock."""
     if hasattr(time, "CLOCK_BOOTTIME"):
         return BootTimeLoop()
-    logging.warning("no clock counts suspensions here: leases may seem held after one")
+    logging.warning("no boot-time clock: expired leases may appear valid after a suspension")
     return asyncio.new_event_loop()
 
 
 def run_on_boot_time(main: Coroutine[Any, Any, Outcome]) -> Outcome:
-    """Run a program to its end, as :func:`asyncio.run` does."""
+    """Run a coroutine like :func:`asyncio.run`, on the loop of :func:`new_event_loop`."""
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
         return runner.run(main)
 
 
 class SuspensionWatch:
-    """Tells how long the machine was suspended.
+    """Detects suspensions of the machine by comparing two clocks periodically.
 
     Args:
-        on_suspended: Called with the length of each suspension, in seconds.
-        boot_s: Returns the time with suspensions, in seconds.
-        steady_s: Returns the time without them, in seconds.
+        on_suspended: Called with the duration of each suspension, in seconds.
+        boot_s: Returns the boot-time clock, which includes suspensions, in seconds.
+        steady_s: Returns the monotonic clock, which does not, in seconds.
     """
 
     def __init__(
@@ -90,14 +88,14 @@
         await cancel_all(self._task)
 
     async def _run(self) -> None:
-        known_s = self._distance_s()
+        offset_s = self._clock_offset_s()
         while True:
             await asyncio.sleep(LOOK_S)
-            suspended_s = self._distance_s() - known_s
-            known_s += suspended_s
+            suspended_s = self._clock_offset_s() - offset_s
+            offset_s += suspended_s
             if suspended_s >= MIN_SUSPENSION_S:
                 logging.warning("the machine was suspended for %.2f s", suspended_s)
                 self._on_suspended(suspended_s)
 
-    def _distance_s(self) -> float:
+    def _clock_offset_s(self) -> float:
         return self._boot_s() - self._steady_s()
