--- a/src/hollowrack/coordination/leadership.py
+++ b/src/hollowrack/coordination/leadership.py
@@ -195,7 +195,7 @@
             return
         last_revision = _revision_of(self._last_leader)
         must_wait = not self.led_last and self._wait_s > NO_HANDOVER_S
-        # The handover counts from when the key was seen to be gone, not from the campaign.
+        # The handover time starts when the key was seen to be removed, not with the campaign.
         free_since_s = min(self._free_since_s, now_s())
         outcome = await self._store.transact(
             [Condition(self.key, self._free_revision), Condition(self.last_key, last_revision)],
--- a/src/hollowrack/weights/order_giver.py
+++ b/src/hollowrack/weights/order_giver.py
@@ -67,8 +67,8 @@
 
     def may_be_of(self, life: WorkerLife) -> bool:
         """Whether an incarnation may have sent this report; an unknown start matches any."""
-        is_told = self.started_ms > 0 and life.started_ms > 0
-        return not is_told or self.started_ms == life.started_ms
+        are_starts_known = self.started_ms > 0 and life.started_ms > 0
+        return not are_starts_known or self.started_ms == life.started_ms
 
 
 @dataclass(frozen=True)
@@ -164,13 +164,15 @@
         for service in self._services():
             workers = self._workers.serving(service.name)
             plan = plan_loads(service.models, workers, held)
-            named = {
+            target_versions = {
                 model: self._named_versions[model]
                 for model in service.models
                 if model in self._named_versions
             }
             max_concurrent = max_concurrent_loads(len(workers))
-            for move in next_moves(named, ready, plan, held, self._loading, max_concurrent):
+            for move in next_moves(
+                target_versions, ready, plan, held, self._loading, max_concurrent
+            ):
                 self._start_move(move)
 
     def _start_move(self, move: VersionMove) -> None:
