--- a/src/hollowrack/api/operators.py
+++ b/src/hollowrack/api/operators.py
@@ -86,7 +86,7 @@
     async def _read_decisions(self, request: Request) -> Response:
         subject = request.query_params.get("subject")
         if subject is not None:
-            records = self._decisions.about(subject)[-MAX_DECISIONS:]
+            records = self._decisions.find_by_subject(subject)[-MAX_DECISIONS:]
         else:
             records = self._decisions.latest(MAX_DECISIONS)
         return JSONResponse([record.as_json() for record in records])
--- a/src/hollowrack/backoff.py
+++ b/src/hollowrack/backoff.py
@@ -25,7 +25,7 @@
         """An attempt succeeded: begin again with the first pause."""
         self._next_s = self._first_s
 
-    def next_pause_s(self) -> float:
+    def next_delay_s(self) -> float:
         """Return how long to pause after one more failure, in seconds."""
         pause_s = self._next_s
         self._next_s = min(self._max_s, GROWTH * pause_s)
--- a/src/hollowrack/capacity/duty.py
+++ b/src/hollowrack/capacity/reconciler.py
@@ -15,22 +15,22 @@
 from hollowrack.clock import now_s
 from hollowrack.coordination.duty import DutyHolder, DutyOutcome
 from hollowrack.coordination.leadership import Leadership
+from hollowrack.coordination.leadership_term import LeadershipTerm
 from hollowrack.coordination.record import Record
 from hollowrack.coordination.store import CoordinationStore, StoredItem
-from hollowrack.coordination.tenure import Tenure
 from hollowrack.forwarding.types import Service
 from hollowrack.forwarding.workers import WorkerDirectory
 from hollowrack.tasks import cancel_all
 
-LOOK_S = 0.5
+POLL_INTERVAL_S = 0.5
 # Workers write of themselves about once a second: by then all that live have been seen.
 FIRST_LOOK_S = 2.0
 # An order that was lost, or undone by an older one that arrived late, is repaired by the next.
 REPEAT_S = 10.0
-RETRY_PAUSE_S = 1.0
+RETRY_INTERVAL_S = 1.0
 
 
-class CapacityDuty:
+class CapacityReconciler:
     """Orders capacity for all nodes.
 
     Args:
@@ -59,7 +59,7 @@
         self._workers = workers
         self._client = client
         self._record = Record(store, key, CapacityPlan)
-        self._tenure = Tenure(leadership)
+        self._tenure = LeadershipTerm(leadership)
         self._due_s: dict[CapacityOrder, float] = {}
         self._task: asyncio.Task[None] | None = None
 
@@ -71,16 +71,16 @@
         """Stop ordering; what was ordered stays."""
         await cancel_all(self._task)
 
-    def take(self, item: StoredItem | None) -> None:
+    def update_plan(self, item: StoredItem | None) -> None:
         """Take in the plan as a mirror shows it."""
-        self._record.take(item)
+        self._record.update(item)
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             if not self._leadership.may_act:
                 continue
-            if self._tenure.note():
+            if self._tenure.update():
                 self._due_s.clear()
             plan = self._record.value
             if plan is not None:
@@ -91,7 +91,7 @@
     async def _decide(self) -> None:
         serving = [worker for worker in self._workers.all() if not worker.is_leaving]
         plan = plan_as_found(self._services(), serving)
-        if plan.zones and await self._record.is_known():
+        if plan.zones and await self._record.ensure_current():
             is_decided = await self._record.replace(plan)
             logging.info("capacity: %s %s", plan, "decided" if is_decided else "not decided")
 
@@ -105,4 +105,4 @@
             outcome = await self._client.order_capacity(DutyHolder(self._node, token), order)
             is_done = outcome is DutyOutcome.ACCEPTED
             logging.info("capacity: %s: %s", order, outcome.value)
-            self._due_s[order] = now_s() + (REPEAT_S if is_done else RETRY_PAUSE_S)
+            self._due_s[order] = now_s() + (REPEAT_S if is_done else RETRY_INTERVAL_S)
--- a/src/hollowrack/cli/fleet_commands.py
+++ b/src/hollowrack/cli/fleet_commands.py
@@ -11,7 +11,7 @@
 
 from hollowrack.cli.operator_client import call_operator
 from hollowrack.cli.output import exit_with_problem, print_json, print_table
-from hollowrack.observability.log_search import account_of, waits_told, workers_named
+from hollowrack.observability.log_search import search_logs, wait_descriptions, worker_ids
 from hollowrack.results import Problem, ResultCode
 
 _operator = click.option(
@@ -84,7 +84,7 @@
 
 
 def _explain_from_logs(subject: str, logs: tuple[TextIO, ...], as_json: bool) -> None:
-    account = account_of(subject, chain.from_iterable(logs))
+    account = search_logs(subject, chain.from_iterable(logs))
     if as_json:
         print_json(asdict(account))
         return
@@ -92,12 +92,12 @@
         click.echo(f"no line is about {subject}")
     for line in account.about:
         click.echo(f"{line.time}  {line.node}  {line.message}")
-    waits = waits_told(account.about)
+    waits = wait_descriptions(account.about)
     if waits:
         click.echo("\nwaits in order")
     for wait in waits:
         click.echo(f"  {wait}")
-    workers = workers_named(account.about)
+    workers = worker_ids(account.about)
     if workers:
         click.echo(f"\nworkers named: {', '.join(workers)}")
     if account.context:
--- a/src/hollowrack/clients/config_store.py
+++ b/src/hollowrack/clients/config_store.py
@@ -18,7 +18,7 @@
 
 REQUEST_TIMEOUT_S = 2.0
 MAX_CREATE_ATTEMPTS = 5
-RETRY_PAUSE_S = 0.2
+RETRY_INTERVAL_S = 0.2
 
 
 @dataclass(frozen=True)
@@ -110,7 +110,7 @@
         result: Result[bool, Problem] = Success(False)
         for attempt in range(MAX_CREATE_ATTEMPTS):
             if attempt:
-                await asyncio.sleep(RETRY_PAUSE_S * attempt)
+                await asyncio.sleep(RETRY_INTERVAL_S * attempt)
             result = await self._create_once(key, value, required_key)
             if isinstance(result, Success):
                 return result
--- a/src/hollowrack/coordination/anti_entropy.py
+++ b/src/hollowrack/coordination/anti_entropy.py
@@ -6,7 +6,8 @@
 revisions order all changes, so whatever is newer may be taken from any node, however old its
 mirror is; only how old the outcome is rests on the age that the answer tells.
 
-A round takes :data:`ROUND_S`, and the time-out of a question more if one of those asked is dead.
+A round takes :data:`ROUND_INTERVAL_S`, and the time-out of a question more if one of those asked
+is dead.
 Without a neighbour that knows more, a node has its own watch alone, with its time-out, its pause
 and its question to a source that may be dead.
 """
@@ -19,18 +20,18 @@
 
 from hollowrack.clock import now_s
 from hollowrack.coordination.mirror import PrefixMirror
-from hollowrack.coordination.sharing import FeedClient, SharedStore
+from hollowrack.coordination.shared_store import FeedClient, SharedStore
 from hollowrack.coordination.store import Changes
 from hollowrack.coordination.watch_messages import SharedChanges, WatchRequest
 from hollowrack.results import ResultCode
 from hollowrack.tasks import cancel_all
 
 # Watches are short: one that is answered is heard of within 0.65 s, its wait and its pause.
-SILENT_S = 0.8
+WATCH_SILENCE_TIMEOUT_S = 0.8
 # Several rounds fit the two seconds that changes have, together with the silence before them.
-ROUND_S = 0.3
+ROUND_INTERVAL_S = 0.3
 # With two neighbours a round what one of nine nodes knows is at all within about four rounds.
-NUM_ASKED = 2
+FANOUT = 2
 # A neighbour whom the store answered this lately shows that it is worth asking.
 STORE_ANSWERS_S = 0.7
 # No bound on the age of a neighbour's mirror, in seconds: revisions tell what is newer.
@@ -73,11 +74,11 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(ROUND_S)
+            await asyncio.sleep(ROUND_INTERVAL_S)
             silent = [
                 prefix
                 for prefix, mirror in self._mirrors.items()
-                if now_s() - mirror.last_heard_s > SILENT_S
+                if now_s() - mirror.last_answer_s > WATCH_SILENCE_TIMEOUT_S
             ]
             if silent:
                 asked = self._choose()
@@ -87,7 +88,7 @@
 
     def _choose(self) -> list[str]:
         neighbours = list(self._neighbours())
-        return self._rng.sample(neighbours, min(NUM_ASKED, len(neighbours)))
+        return self._rng.sample(neighbours, min(FANOUT, len(neighbours)))
 
     async def _ask(self, address: str, prefix: str) -> None:
         """Ask one neighbour for what it knows beyond this node's revision."""
@@ -100,16 +101,16 @@
             answer = await self._watch(address, mirror, prefix, wants_listing)
         if answer is None or answer.is_stale or answer.is_history_gone:
             return
-        fault = answer.fault(wants_listing)
+        fault = answer.validation_error(wants_listing)
         if fault is not None:
             code = int(ResultCode.MESSAGE_INVALID)
             logging.error("[%d] changes of %s from %s: %s", code, prefix, address, fault)
-            mirror.recheck()
+            mirror.relist()
             return
         self._adopt(address, prefix, answer, wants_listing)
-        self._shared.note_heard(prefix, answer.known_at_s(asked_s))
+        self._shared.record_answer(prefix, answer.as_of_s(asked_s))
         if answer.age_s < STORE_ANSWERS_S:
-            mirror.wake()
+            mirror.retry_now()
 
     async def _watch(
         self, address: str, mirror: PrefixMirror, prefix: str, wants_listing: bool
@@ -121,9 +122,9 @@
         mirror = self._mirrors[prefix]
         before = mirror.reached_revision
         if is_listing:
-            mirror.adopt_listing(answer.listed())
+            mirror.apply_listing(answer.listed())
         else:
-            mirror.adopt(Changes(answer.items(), answer.revision))
+            mirror.apply_changes(Changes(answer.items(), answer.revision))
         if mirror.reached_revision != before and answer.changes:
             logging.info(
                 "changes of %s from the node %s: revision %d after %d, of %.2f s ago",
--- a/src/hollowrack/coordination/feed_http.py
+++ b/src/hollowrack/coordination/feed_http.py
@@ -21,7 +21,7 @@
 
 
 class HttpFeedClient:
-    """Sends watches to other nodes; see :class:`hollowrack.coordination.sharing.FeedClient`.
+    """Sends watches to other nodes; see :class:`hollowrack.coordination.shared_store.FeedClient`.
 
     Args:
         session: HTTP session for nodes.
--- a/src/hollowrack/coordination/leadership.py
+++ b/src/hollowrack/coordination/leadership.py
@@ -15,7 +15,7 @@
 from absl import logging
 
 from hollowrack.clock import now_s
-from hollowrack.coordination.session import Session, node_of_owner, owner_in
+from hollowrack.coordination.session import Session, decode_owner, node_of_owner
 from hollowrack.coordination.store import (
     ABSENT_REVISION,
     Committed,
@@ -36,11 +36,11 @@
 # next renewal, half a second later at most, and its last order is then on the way.
 REVOKED_MARGIN_S = 0.6
 # The node that led last goes first, if it is there.
-MIN_YIELD_S = 0.15
+MIN_CAMPAIGN_DELAY_S = 0.15
 # While processes start, that node may start as well, and any other would wait out the handover.
-STARTING_AGE_S = 3.0
-STARTING_YIELD_S = 0.8
-MAX_AGE_YIELD_S = 0.45
+STARTUP_WINDOW_S = 3.0
+STARTUP_CAMPAIGN_DELAY_S = 0.8
+MAX_AGE_CAMPAIGN_DELAY_S = 0.45
 OLD_AGE_S = 20.0
 LAST_SUFFIX = "-last"
 
@@ -123,14 +123,14 @@
             removes = [self.key, self.last_key]
             await self._store.transact([Condition(self.key, token)], [], removes)
 
-    def note(self, item: StoredItem | None) -> None:
+    def update_leader_key(self, item: StoredItem | None) -> None:
         """Take in what the leader key holds, as seen by a mirror or a failed write."""
         if item is None:
             self._free_since_s = min(self._free_since_s, now_s())
             self._free_from(ABSENT_REVISION, self._handover_s)
             return
         self._free_since_s = float("inf")
-        holder = owner_in(item.value)
+        holder = decode_owner(item.value)
         if holder == self._owner:
             return
         self.fencing_token = None
@@ -139,7 +139,7 @@
         else:
             self._is_free.clear()
 
-    def note_last(self, item: StoredItem | None) -> None:
+    def update_last_leader_key(self, item: StoredItem | None) -> None:
         """Take in what the key of the last leader holds.
 
         Every leader writes it. So if it has changed, somebody led after this node last saw the
@@ -150,11 +150,11 @@
         self._last = item
 
     @property
-    def led_last(self) -> bool:
+    def was_last_leader(self) -> bool:
         """Whether this node led last, in this process or an earlier one."""
         if self._last is None:
             return False
-        return node_of_owner(owner_in(self._last.value)) == node_of_owner(self._owner)
+        return node_of_owner(decode_owner(self._last.value)) == node_of_owner(self._owner)
 
     def _free_from(self, revision: int, wait_s: float) -> None:
         self._free_revision = revision
@@ -164,7 +164,7 @@
     async def _run(self) -> None:
         while True:
             await self._is_free.wait()
-            if not self.led_last:
+            if not self.was_last_leader:
                 await asyncio.sleep(self._yield_s() + self._rng.uniform(0, CAMPAIGN_JITTER_S))
             if self._is_free.is_set() and self._session.is_valid:
                 await self._campaign()
@@ -177,16 +177,16 @@
         just started are not the next to be stopped. Only the node that led last goes before them.
         """
         age_s = now_s() - self._started_s
-        yield_s = MIN_YIELD_S + MAX_AGE_YIELD_S * min(1.0, age_s / OLD_AGE_S)
-        is_starting = self._last is not None and age_s < STARTING_AGE_S
-        return yield_s + STARTING_YIELD_S if is_starting else yield_s
+        yield_s = MIN_CAMPAIGN_DELAY_S + MAX_AGE_CAMPAIGN_DELAY_S * min(1.0, age_s / OLD_AGE_S)
+        is_starting = self._last is not None and age_s < STARTUP_WINDOW_S
+        return yield_s + STARTUP_CAMPAIGN_DELAY_S if is_starting else yield_s
 
     async def _campaign(self) -> None:
         lease = self._session.lease
         if lease is None:
             return
         last_revision = _revision_of(self._last)
-        must_wait = not self.led_last and self._wait_s > NO_HANDOVER_S
+        must_wait = not self.was_last_leader and self._wait_s > NO_HANDOVER_S
         # The last leader has not acted long after its key was seen to be gone.
         free_since_s = min(self._free_since_s, now_s())
         outcome = await self._store.transact(
@@ -203,13 +203,13 @@
 
     def _note_conflict(self, lease: int, outcome: Conflict) -> None:
         current = {item.key: item for item in outcome.current}
-        self.note_last(current.get(self.last_key))
+        self.update_last_leader_key(current.get(self.last_key))
         item = current.get(self.key)
         # A lost answer of an earlier attempt shows as a key that already names this process.
-        if item is not None and owner_in(item.value) == self._owner and item.lease == lease:
+        if item is not None and decode_owner(item.value) == self._owner and item.lease == lease:
             self._win(lease, item.revision, now_s() + self._handover_s)
         else:
-            self.note(item)
+            self.update_leader_key(item)
 
     def _win(self, lease: int, revision: int, acts_from_s: float) -> None:
         self._is_free.clear()
--- a/src/hollowrack/coordination/tenure.py
+++ b/src/hollowrack/coordination/leadership_term.py
@@ -4,7 +4,7 @@
 from hollowrack.coordination.leadership import Leadership
 
 
-class Tenure:
+class LeadershipTerm:
     """Tells one part of a node when its leadership is a new one.
 
     Args:
@@ -16,7 +16,7 @@
         self._token: int | None = None
         self._began_s = 0.0
 
-    def note(self) -> bool:
+    def update(self) -> bool:
         """Note that this node leads now; returns whether it did not when this was last noted."""
         if self._token == self._leadership.fencing_token:
             return False
--- a/src/hollowrack/coordination/retirement.py
+++ b/src/hollowrack/coordination/machine_retirement.py
@@ -9,7 +9,7 @@
 from hollowrack.tasks import cancel_all
 
 # Well inside the seconds that an operator waits for the answer.
-LOOK_S = 0.3
+POLL_INTERVAL_S = 0.3
 
 
 class MachineRetirement:
@@ -43,7 +43,7 @@
     async def _run(self) -> None:
         done: set[str] = set()
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             if not self._leadership.is_leader:
                 continue
             for machine in sorted(self._asked - done):
--- a/src/hollowrack/coordination/mirror.py
+++ b/src/hollowrack/coordination/mirror.py
@@ -29,16 +29,16 @@
     StoredItem,
     Unavailable,
 )
-from hollowrack.observability.line_limit import LineLimit
+from hollowrack.observability.log_rate_limiter import LogRateLimiter
 from hollowrack.tasks import cancel_all
 
 # Shorter than the history that the store keeps, so that a quiet watch can go on from its revision.
 WATCH_WAIT_S = 15.0
-FIRST_RETRY_PAUSE_S = 0.4
+INITIAL_BACKOFF_S = 0.4
 # A store that answers again must be found well inside the time that changes have.
-MAX_RETRY_PAUSE_S = 1.2
+MAX_BACKOFF_S = 1.2
 # A mirror that its sentinel wakes need not look for itself.
-MAX_RESTING_PAUSE_S = 4.0
+MAX_BACKOFF_WITH_SENTINEL_S = 4.0
 LATE_ANSWER_S = 0.5
 MAX_HISTORY = 512
 # A key is another writer's text; the store takes longer ones than a log line should hold.
@@ -54,11 +54,11 @@
         store: The coordination store.
         prefix: Which keys.
         on_change: Called with each key that was written, or removed (``None``).
-        pace_s: Least time between two calls, in seconds.
+        min_interval_s: Least time between two calls, in seconds.
         rng: Source of the retry jitter.
         watch_wait_s: Longest wait of one watch, in seconds.
-        on_doubt: Called when other watches may have missed changes; for the sentinel.
-        rests_on_sentinel: Whether a sentinel has this mirror list again after failures.
+        on_suspected_gap: Called when other watches may have missed changes; for the sentinel.
+        has_sentinel: Whether a sentinel has this mirror list again after failures.
         starts_after: Set once the first listing may begin; ``None`` for at once.
     """
 
@@ -67,16 +67,16 @@
         store: CoordinationStore,
         prefix: str,
         on_change: OnChange,
-        pace_s: float,
+        min_interval_s: float,
         rng: random.Random,
         watch_wait_s: float = WATCH_WAIT_S,
-        on_doubt: Callable[[], None] | None = None,
-        rests_on_sentinel: bool = False,
+        on_suspected_gap: Callable[[], None] | None = None,
+        has_sentinel: bool = False,
         starts_after: asyncio.Event | None = None,
     ) -> None:
         self.items: dict[str, StoredItem] = {}
         self.is_loaded = asyncio.Event()
-        self.last_heard_s = -float("inf")
+        self.last_answer_s = -float("inf")
         self.reached_revision = 0
         self._history: deque[KeyChange] = deque(maxlen=MAX_HISTORY)
         self._history_from = 0
@@ -84,19 +84,19 @@
         self._store = store
         self._prefix = prefix
         self._on_change = on_change
-        self._pace_s = pace_s
+        self._pace_s = min_interval_s
         self._watch_wait_s = watch_wait_s
-        self._on_doubt = on_doubt
+        self._on_doubt = on_suspected_gap
         self._starts_after = starts_after
-        max_pause_s = MAX_RESTING_PAUSE_S if rests_on_sentinel else MAX_RETRY_PAUSE_S
-        self._backoff = Backoff(FIRST_RETRY_PAUSE_S, max_pause_s, rng)
+        max_pause_s = MAX_BACKOFF_WITH_SENTINEL_S if has_sentinel else MAX_BACKOFF_S
+        self._backoff = Backoff(INITIAL_BACKOFF_S, max_pause_s, rng)
         self._must_wake = asyncio.Event()
         self._is_in_doubt = False
         self._must_list = False
         self._watching: asyncio.Task[Changes | HistoryGone | Unavailable] | None = None
         self._task: asyncio.Task[None] | None = None
         self._is_failing = False
-        self._fault_lines = LineLimit()
+        self._fault_lines = LogRateLimiter()
 
     def start(self) -> None:
         """Start following the store."""
@@ -121,34 +121,34 @@
         except TimeoutError:
             return
 
-    def recheck(self) -> None:
+    def relist(self) -> None:
         """List again now: what the watch has heard may not be all."""
         self._must_list = True
         self._must_wake.set()
         if self._watching is not None:
             self._watching.cancel()
 
-    def wake(self) -> None:
+    def retry_now(self) -> None:
         """End a pause after a failure: the store answers again."""
         self._must_wake.set()
 
-    def rewatch(self) -> None:
+    def restart_watch(self) -> None:
         """Begin the present watch anew, from the same revision."""
         self._must_wake.set()
         if self._watching is not None:
             self._watching.cancel()
 
-    def adopt(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Take in the changes behind the revision reached, heard of elsewhere than by the watch."""
         if self.is_loaded.is_set() and changes.revision > self.reached_revision:
             self._take(changes)
-            self.rewatch()
+            self.restart_watch()
 
-    def adopt_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Take in all keys of a newer revision than the one reached, heard of elsewhere."""
         if not self.is_loaded.is_set() or listing.revision > self.reached_revision:
             self._replace(listing)
-            self.rewatch()
+            self.restart_watch()
 
     async def _run(self) -> None:
         if self._starts_after is not None:
@@ -164,7 +164,7 @@
         """Pause before the next attempt, unless there is a sign that it may succeed."""
         self._must_wake.clear()
         try:
-            async with asyncio.timeout(self._backoff.next_pause_s()):
+            async with asyncio.timeout(self._backoff.next_delay_s()):
                 await self._must_wake.wait()
         except TimeoutError:
             return
@@ -260,7 +260,7 @@
             self._changed = asyncio.Event()
 
     def _note_heard(self) -> None:
-        self.last_heard_s = now_s()
+        self.last_answer_s = now_s()
         if self._is_failing:
             logging.info("coordination store answers again for %s", self._prefix)
         self._is_failing = False
@@ -312,5 +312,5 @@
                     self._prefix,
                     MAX_LOGGED_KEY_LENGTH,
                     key,
-                    self._fault_lines.take_left_out(),
+                    self._fault_lines.reset_suppressed(),
                 )
--- a/src/hollowrack/coordination/mirror_feed.py
+++ b/src/hollowrack/coordination/mirror_feed.py
@@ -15,13 +15,15 @@
 
     Args:
         mirrors: Mirrors by prefix.
-        heard_s: Returns when the store last answered this node, or one that it learnt from, about
-            a prefix, on the loop's clock.
+        last_answer_s: Returns when the store last answered this node, or one that it learnt from,
+            about a prefix, on the loop's clock.
     """
 
-    def __init__(self, mirrors: dict[str, PrefixMirror], heard_s: Callable[[str], float]) -> None:
+    def __init__(
+        self, mirrors: dict[str, PrefixMirror], last_answer_s: Callable[[str], float]
+    ) -> None:
         self._mirrors = mirrors
-        self._heard_s = heard_s
+        self._heard_s = last_answer_s
 
     async def watch(self, request: WatchRequest) -> SharedChanges:
         """Answer as soon as there is a change, or when the time is up; a listing at once."""
--- a/src/hollowrack/coordination/record.py
+++ b/src/hollowrack/coordination/record.py
@@ -55,7 +55,7 @@
         # Whether a write of this node may have been done without its knowledge.
         self._is_unsure = False
 
-    def take(self, item: StoredItem | None) -> None:
+    def update(self, item: StoredItem | None) -> None:
         """Take in what the store holds, as a mirror or a failed write shows it.
 
         The value outlives its key: what was decided stays so, and the next write names no revision.
@@ -74,13 +74,13 @@
         self.value = decoded.unwrap()
         self._on_change(decoded.unwrap())
 
-    async def is_known(self) -> bool:
+    async def ensure_current(self) -> bool:
         """Whether the newest value may be built upon; reads it if a write's outcome is unknown."""
         if self._is_unsure:
             item = await self._store.get(self._key)
             if isinstance(item, NotDone | Unknown):
                 return False
-            self.take(item)
+            self.update(item)
             self._is_unsure = False
         return True
 
@@ -90,10 +90,10 @@
         condition = Condition(self._key, self._revision)
         outcome = await self._store.transact([condition], [Put(self._key, encoded)])
         if isinstance(outcome, Committed):
-            self.take(StoredItem(self._key, encoded, outcome.revision))
+            self.update(StoredItem(self._key, encoded, outcome.revision))
             return True
         if isinstance(outcome, Conflict):
-            self.take(next(iter(outcome.current), None))
+            self.update(next(iter(outcome.current), None))
         else:
             # It may be done, or be done later: it is looked for before another attempt.
             self._is_unsure = isinstance(outcome, Unknown)
--- a/src/hollowrack/coordination/relay.py
+++ b/src/hollowrack/coordination/relay.py
@@ -44,13 +44,13 @@
 MAX_RELAY_PERIOD_S = 4.0
 # Leases last 2 s: what keeps or opens one is not waited for longer than this before it goes by way
 # of another node. A slow store answers in a quarter of a second.
-LEASE_PATIENCE_S = 0.5
+LEASE_CALL_TIMEOUT_S = 0.5
 # Nodes that refuse say so at once; one that is silent ends the attempt.
 MAX_NODES_ASKED = 2
 # After relaying found nothing better, for every call or for one node.
 FIRST_RELAY_PAUSE_S = 0.5
 MAX_RELAY_PAUSE_S = 4.0
-NODE_PAUSE_S = 2.0
+NODE_RETRY_INTERVAL_S = 2.0
 
 
 @message("store.get")
@@ -269,7 +269,7 @@
         if not self._nodes():
             return await call
         try:
-            async with asyncio.timeout(LEASE_PATIENCE_S):
+            async with asyncio.timeout(LEASE_CALL_TIMEOUT_S):
                 return await call
         except TimeoutError:
             return Unknown("no answer in time")
@@ -303,7 +303,7 @@
         if not self._direct_calls_fail:
             self._relay_periods.reset()
             return
-        self._relays_first_until_s = now_s() + self._relay_periods.next_pause_s()
+        self._relays_first_until_s = now_s() + self._relay_periods.next_delay_s()
         if not did_fail and self._may_relay():
             for listener in self.direct_failure_listeners:
                 listener()
@@ -316,10 +316,10 @@
             if not isinstance(answer, NotDone | Unknown):
                 self._attempts.reset()
                 return answer
-            self._node_from_s[address] = now_s() + NODE_PAUSE_S
+            self._node_from_s[address] = now_s() + NODE_RETRY_INTERVAL_S
             if isinstance(answer, Unknown):
                 break
-        pause_s = self._attempts.next_pause_s()
+        pause_s = self._attempts.next_delay_s()
         self._relays_from_s = now_s() + pause_s
         logging.info(
             "call to the store: not by way of other nodes either (%s), next after %.1f s",
--- a/src/hollowrack/coordination/relay_http.py
+++ b/src/hollowrack/coordination/relay_http.py
@@ -39,7 +39,7 @@
 # A node that is served answers within some ten milliseconds, a slow store within a quarter of a
 # second. Silence must not hold up a call that the store may answer directly meanwhile.
 ANSWER_TIMEOUT_S = 0.8
-WATCH_GRACE_S = 0.8
+WATCH_TIMEOUT_MARGIN_S = 0.8
 
 _CALLS = (
     RelayedGet,
@@ -78,7 +78,7 @@
         """Have a node make a call."""
         total_s = ANSWER_TIMEOUT_S
         if isinstance(call, RelayedWatch):
-            total_s = call.wait_s + WATCH_GRACE_S
+            total_s = call.wait_s + WATCH_TIMEOUT_MARGIN_S
         try:
             answer = await ask_node(self._session, address, RELAY_PATH, call, total_s)
         except NodeUnreachableError:
--- a/src/hollowrack/coordination/session.py
+++ b/src/hollowrack/coordination/session.py
@@ -31,7 +31,7 @@
     return f"{node}{_OWNER_SEPARATOR}{incarnation}"
 
 
-def owner_in(value: bytes) -> str:
+def decode_owner(value: bytes) -> str:
     """Return the owner that a key's value names.
 
     Bytes that are no text name an owner that nobody is: its keys are taken over as those of a
@@ -42,7 +42,7 @@
 
 def is_owner(value: bytes) -> bool:
     """Whether a key's value can be read as an owner."""
-    return bool(value) and owner_in(value).encode() == value
+    return bool(value) and decode_owner(value).encode() == value
 
 
 def node_of_owner(owner: str) -> str:
@@ -109,7 +109,7 @@
             self._set(granted.lease, sent_s + granted.ttl_s)
             logging.info("session lease %d", granted.lease)
         else:
-            await asyncio.sleep(self._backoff.next_pause_s())
+            await asyncio.sleep(self._backoff.next_delay_s())
 
     async def _renew(self, lease: int) -> None:
         sent_s = now_s()
--- a/src/hollowrack/coordination/sharing.py
+++ b/src/hollowrack/coordination/shared_store.py
@@ -38,11 +38,11 @@
 # What a node that asks another one may lag: one more short watch and its pause.
 MAX_RELAYED_AGE_S = 1.7
 # After a node gave no answer it is not asked for this long: the next time-out delays changes again.
-DISTRUST_S = 1.5
+UNRESPONSIVE_SOURCE_RETRY_INTERVAL_S = 1.5
 # A node whose mirror is old answers at once, and is asked again after two looks at the store.
-STALE_DISTRUST_S = 0.5
+STALE_SOURCE_RETRY_INTERVAL_S = 0.5
 # Nodes with a session all ask the store while nobody leads: after its first question each pauses.
-FOLLOWER_PAUSE_S = 0.4
+FOLLOWER_POLL_DELAY_S = 0.4
 # Nodes without a session are many. While the store fails all of them, each asks it this seldom;
 # changes have three seconds on deployments that are large enough to have such nodes.
 PROBE_INTERVAL_S = 2.0
@@ -102,7 +102,7 @@
         self.source_listeners: list[Callable[[], None]] = []
         self.recovery_listeners: list[Callable[[], None]] = []
 
-    def heard_s(self, prefix: str | None) -> float:
+    def last_answer_s(self, prefix: str | None) -> float:
         """Return when the store last answered about a prefix, here or where this node learnt of it.
 
         Args:
@@ -115,7 +115,7 @@
             return self._heard_s.get(prefix, -float("inf"))
         return max(self._heard_s.values(), default=-float("inf"))
 
-    def note_heard(self, prefix: str, at_s: float) -> None:
+    def record_answer(self, prefix: str, at_s: float) -> None:
         """Take in that what is known of a prefix was all that the store held at a time."""
         self._heard_s[prefix] = max(at_s, self._heard_s.get(prefix, at_s))
 
@@ -138,7 +138,7 @@
         answer = await self._store.watch(prefix, after_revision, 0.0 if is_probe else wait_s)
         self._note_store_answers(isinstance(answer, Changes | HistoryGone))
         if isinstance(answer, Changes):
-            self.note_heard(prefix, now_s())
+            self.record_answer(prefix, now_s())
         return answer
 
     async def list_prefix(self, prefix: str) -> Listing | Unavailable:
@@ -155,7 +155,7 @@
         listing = await self._store.list_prefix(prefix)
         self._note_store_answers(isinstance(listing, Listing))
         if isinstance(listing, Listing):
-            self.note_heard(prefix, sent_s)
+            self.record_answer(prefix, sent_s)
             self._reach(prefix, listing.revision)
         return listing
 
@@ -169,10 +169,14 @@
             refusal = _refusal(request, shared)
             if shared is not None and refusal is None:
                 if not shared.is_history_gone:
-                    self.note_heard(request.prefix, shared.known_at_s(sent_s))
+                    self.record_answer(request.prefix, shared.as_of_s(sent_s))
                 self._note_source(address)
                 return shared
-            distrust_s = DISTRUST_S if shared is None else STALE_DISTRUST_S
+            distrust_s = (
+                UNRESPONSIVE_SOURCE_RETRY_INTERVAL_S
+                if shared is None
+                else STALE_SOURCE_RETRY_INTERVAL_S
+            )
             self._trusted_from_s[address] = now_s() + distrust_s
             logging.info("watch of %s: not at the node %s: %s", request.prefix, address, refusal)
         self._note_source(None)
@@ -205,7 +209,7 @@
     async def _pause_if_asked_before(self, prefix: str) -> None:
         """Pause before a follower's further questions; the first tells what it has missed."""
         if prefix in self._asked_store and self._access() is not StoreAccess.LEADER:
-            await asyncio.sleep(FOLLOWER_PAUSE_S)
+            await asyncio.sleep(FOLLOWER_POLL_DELAY_S)
         self._asked_store.add(prefix)
 
     def _note_source(self, source: str | None) -> None:
@@ -252,5 +256,5 @@
         return "its mirror is old"
     if request.wants_listing and shared.revision < request.after_revision:
         return f"its listing is of revision {shared.revision}, {request.after_revision} is known"
-    fault = shared.fault(request.wants_listing)
+    fault = shared.validation_error(request.wants_listing)
     return None if fault is None else f"[{int(ResultCode.MESSAGE_INVALID)}] {fault}"
--- a/src/hollowrack/coordination/watch_messages.py
+++ b/src/hollowrack/coordination/watch_messages.py
@@ -81,7 +81,7 @@
     age_s: float = 0.0
     held_s: float = 0.0
 
-    def known_at_s(self, asked_s: float) -> float:
+    def as_of_s(self, asked_s: float) -> float:
         """Return when the store held just this, on the asking node's clock, at the earliest.
 
         Args:
@@ -99,7 +99,7 @@
         items = tuple(item for item in self.items() if isinstance(item, StoredItem))
         return Listing(items, self.revision)
 
-    def fault(self, is_listing: bool) -> str | None:
+    def validation_error(self, is_listing: bool) -> str | None:
         """What makes the answer unusable; ``None`` if nothing does.
 
         Args:
--- a/src/hollowrack/edge_connections.py
+++ b/src/hollowrack/edge_connections.py
@@ -6,14 +6,14 @@
 
 from hollowrack.capacity.types import CapacityClient
 from hollowrack.coordination.relay import RelayClient
-from hollowrack.coordination.sharing import FeedClient
+from hollowrack.coordination.shared_store import FeedClient
 from hollowrack.coordination.store import CoordinationStore
 from hollowrack.forwarding.back_end import BackEndClient
 from hollowrack.forwarding.event_stream import StreamEvent
-from hollowrack.jobs.peers import PeerJobs
+from hollowrack.jobs.peer_jobs import PeerJobs
 from hollowrack.slots.types import SlotPeers
 from hollowrack.usage.types import UsageClient, UsagePeers
-from hollowrack.weights.order_giver import OrderClient
+from hollowrack.weights.version_reconciler import OrderClient
 
 DEFAULT_KEEP_ENDED_S = 300.0
 # The shortest that the platform's deployments have.
@@ -49,8 +49,8 @@
         peer_jobs: Hands jobs to other nodes.
         address: Where other nodes reach this one; empty if they do not.
         num_cores: Processor time this node has, in cores.
-        keep_ended_s: How long an ended job is kept, in seconds.
-        change_bound_s: How long changes of routes and workers may take to reach this node, in
+        ended_job_retention_s: How long an ended job is kept, in seconds.
+        max_change_delay_s: How long changes of routes and workers may take to reach this node, in
             seconds.
         complete_retirement: Tells the operators that a machine is empty.
         feed: Sends watches to other nodes.
@@ -71,8 +71,8 @@
     relay: RelayClient
     address: str = ""
     num_cores: float = 1.0
-    keep_ended_s: float = DEFAULT_KEEP_ENDED_S
-    change_bound_s: float = DEFAULT_CHANGE_BOUND_S
+    ended_job_retention_s: float = DEFAULT_KEEP_ENDED_S
+    max_change_delay_s: float = DEFAULT_CHANGE_BOUND_S
     seeds: tuple[str, ...] = ()
     usage: UsageConnections | None = None
     capacity: CapacityClient | None = None
--- a/src/hollowrack/edge_node.py
+++ b/src/hollowrack/edge_node.py
@@ -13,11 +13,11 @@
 
 from hollowrack.clock import now_s
 from hollowrack.coordination.leadership import Leadership
+from hollowrack.coordination.machine_retirement import MachineRetirement
 from hollowrack.coordination.mirror import PrefixMirror
 from hollowrack.coordination.relay import RelayingStore
-from hollowrack.coordination.retirement import MachineRetirement
 from hollowrack.coordination.session import Session, owner_name
-from hollowrack.coordination.sharing import SharedStore, StoreAccess
+from hollowrack.coordination.shared_store import SharedStore, StoreAccess
 from hollowrack.coordination.store import Committed, Put, StoredItem
 from hollowrack.edge_connections import EdgeConnections
 from hollowrack.forwarding.dispatch_queue import DispatchQueue
@@ -26,7 +26,7 @@
 from hollowrack.forwarding.route_table import RouteTable
 from hollowrack.forwarding.types import RoutingConfiguration, Worker
 from hollowrack.forwarding.workers import WorkerDirectory
-from hollowrack.jobs.hosting import HostRole, num_hosts_per_zone
+from hollowrack.jobs.host_role import HostRole, num_hosts_per_zone
 from hollowrack.jobs.item_services import ItemServices
 from hollowrack.jobs.job_log import JobLog, OpenJob
 from hollowrack.jobs.job_reader import JobReader
@@ -45,11 +45,11 @@
 from hollowrack.messages import codec
 from hollowrack.node_duties import NodeDuties, usage_meter
 from hollowrack.quarantine.quarantine import Quarantine
-from hollowrack.quarantine.sharing import SuspectSharing
-from hollowrack.slots.sharing import SlotSharing
+from hollowrack.quarantine.replicator import SuspectReplicator
+from hollowrack.slots.slot_sharing import SlotSharing
 from hollowrack.tasks import cancel_all
 from hollowrack.usage.types import ProcessCounts
-from hollowrack.weights.order_giver import OrderGiver
+from hollowrack.weights.version_reconciler import VersionReconciler
 
 LIVE_PACE_S = 0.2
 LIVE_WAIT_S = 5.0
@@ -85,7 +85,7 @@
         usage: Counts the requests of tenants that workers began.
         quarantine: Keeps requests that end their workers from further workers.
         slots: Shares the slots of workers with other nodes.
-        may_follow: Set once what operators and workers write may be followed.
+        may_watch_feed: Set once what operators and workers write may be followed.
     """
 
     def __init__(
@@ -141,7 +141,7 @@
         )
         self._address = connections.address
         self._seeds = connections.seeds
-        self._change_bound_s = connections.change_bound_s
+        self._change_bound_s = connections.max_change_delay_s
         self._num_cores = connections.num_cores
         self.feed_client = connections.feed
         self.shared_store = SharedStore(
@@ -152,8 +152,8 @@
         )
         self.shared_store.source_listeners.append(self._rewatch_live)
         self.shared_store.recovery_listeners.append(self._wake_live)
-        self._suspects = SuspectSharing(
-            SUSPECTS_PREFIX, store, self.quarantine.register, self.leadership, rng
+        self._suspects = SuspectReplicator(
+            SUSPECTS_PREFIX, store, self.quarantine.registry, self.leadership, rng
         )
         self._live_mirror = PrefixMirror(
             self.shared_store,
@@ -162,13 +162,13 @@
             LIVE_PACE_S,
             rng,
             LIVE_WAIT_S,
-            rests_on_sentinel=True,
+            has_sentinel=True,
         )
-        num_hosts = num_hosts_per_zone(connections.change_bound_s)
+        num_hosts = num_hosts_per_zone(connections.max_change_delay_s)
         # Where few nodes hold sessions, those are seen first: the rest is asked of them.
-        self.may_follow = asyncio.Event() if num_hosts is None else self._live_mirror.is_loaded
+        self.may_watch_feed = asyncio.Event() if num_hosts is None else self._live_mirror.is_loaded
         if num_hosts is None:
-            self.may_follow.set()
+            self.may_watch_feed.set()
         self._host_role = HostRole(
             self.owner,
             self._entry,
@@ -176,7 +176,7 @@
             self.live,
             self._live_mirror.is_loaded,
             lambda: self.jobs.num_running > 0 or self.leadership.is_leader,
-            lambda: self.leadership.led_last,
+            lambda: self.leadership.was_last_leader,
             num_hosts,
             rng,
         )
@@ -189,8 +189,10 @@
             self.live,
             self._live_mirror.is_loaded,
         )
-        self._retention = JobRetention(log, self.live, self.leadership, connections.keep_ended_s)
-        self._order_giver = OrderGiver(
+        self._retention = JobRetention(
+            log, self.live, self.leadership, connections.ended_job_retention_s
+        )
+        self._order_giver = VersionReconciler(
             name,
             self.leadership,
             self.workers,
@@ -236,10 +238,10 @@
     @property
     def configuration_age_s(self) -> float:
         """How long ago the store confirmed what this node knows of it, in seconds."""
-        return now_s() - self.shared_store.heard_s(self.shared_store.sentinel_prefix)
+        return now_s() - self.shared_store.last_answer_s(self.shared_store.sentinel_prefix)
 
     @property
-    def may_lack_changes(self) -> bool:
+    def is_configuration_stale(self) -> bool:
         """Whether the configuration known may be older than changes may be on their way."""
         return self.configuration_age_s > self._change_bound_s
 
@@ -272,7 +274,7 @@
         self.is_stopping = True
         started_s = now_s()
         logging.info("stopping: %d jobs here", self.jobs.num_running)
-        self.jobs.refuse_new()
+        self.jobs.stop_accepting()
         self._num_cores = NO_CORES
         await self._host_role.stop()
         await self._order_giver.stop()
@@ -335,9 +337,9 @@
 
     def worker_changed(self, worker: Worker) -> None:
         """Take in a worker's state."""
-        self.workers.put(worker)
+        self.workers.update(worker)
 
-    def worker_gone(self, worker_id: str) -> None:
+    def worker_removed(self, worker_id: str) -> None:
         """Forget a worker."""
         worker = self.workers.get(worker_id)
         self.workers.remove(worker_id)
@@ -348,21 +350,21 @@
                 worker.service,
             )
 
-    def version_named(self, model: str, version: int) -> None:
+    def target_version_changed(self, model: str, version: int) -> None:
         """Take in a named version; versions only rise."""
         self._named_versions[model] = max(version, self._named_versions.get(model, 0))
 
-    def retirement_asked(self, node: str) -> None:
+    def retirement_requested(self, node: str) -> None:
         """Note that a machine is to be emptied."""
         self._retirement.ask(node)
 
-    def take_usage(self, counts: ProcessCounts) -> None:
+    def receive_usage(self, counts: ProcessCounts) -> None:
         """Take in what another node hands over of usage."""
         self.usage.counts.merge(counts)
 
-    def store_doubted(self) -> None:
+    def watch_interrupted(self) -> None:
         """Look again at all that is watched."""
-        self._live_mirror.recheck()
+        self._live_mirror.relist()
 
     # -- loops ------------------------------------------------------------------------------
 
@@ -400,7 +402,7 @@
     async def _note_first_leader(self) -> None:
         """Before the first change there is none to hear of: look who leads, if anybody does."""
         await self._live_mirror.is_loaded.wait()
-        self.leadership.note(self._live_mirror.items.get(LEADER_KEY))
+        self.leadership.update_leader_key(self._live_mirror.items.get(LEADER_KEY))
 
     # -- mirrors ----------------------------------------------------------------------------
 
@@ -425,18 +427,18 @@
         return StoreAccess.FOLLOWER if self.session.is_held else StoreAccess.OBSERVER
 
     def _on_live_key(self, key: str, item: StoredItem | None) -> None:
-        if not self._duties.take(key, item) and not self._suspects.take(key, item):
-            self.live.take(key, item)
+        if not self._duties.apply_change(key, item) and not self._suspects.apply_change(key, item):
+            self.live.apply_change(key, item)
 
     def _wake_live(self) -> None:
-        self._live_mirror.wake()
+        self._live_mirror.retry_now()
 
     def _rewatch_live(self) -> None:
-        self._live_mirror.rewatch()
+        self._live_mirror.restart_watch()
 
     def _on_job_owned(self, job: OpenJob) -> None:
         if job.owner != self.owner:
-            self.jobs.note_replaced(job)
+            self.jobs.receive_owner_change(job)
 
     def _on_job_ended(self, job_id: str) -> None:
-        self.jobs.note_ended(job_id)
+        self.jobs.receive_job_end(job_id)
--- a/src/hollowrack/forwarding/call_places.py
+++ b/src/hollowrack/forwarding/call_limiter.py
@@ -21,7 +21,7 @@
 _Services = tuple[str, ...]
 
 
-class CallPlaces:
+class CallLimiter:
     """Places for calls, handed out in the order in which they are asked for.
 
     Calls whose workers serve no other plain requests are not bounded.
@@ -44,7 +44,7 @@
         return sum(len(queue) for queue in self._waiting.values())
 
     @contextlib.asynccontextmanager
-    async def place(self, route: Route) -> AsyncIterator[None]:
+    async def slot(self, route: Route) -> AsyncIterator[None]:
         """Hold a place among the calls to a route's services; waits until there is one."""
         if not self._routes.shares_workers(route):
             yield
--- a/src/hollowrack/forwarding/dispatch_queue.py
+++ b/src/hollowrack/forwarding/dispatch_queue.py
@@ -8,13 +8,13 @@
 
 from hollowrack.clock import now_s
 from hollowrack.forwarding.dispatch_rank import DispatchRank, WorkKind
-from hollowrack.forwarding.dispatch_statistics import DispatchStatistics, WaitPlace
-from hollowrack.forwarding.slot_limits import SlotLimits, WholeCapacity
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.dispatch_statistics import DispatchStatistics, WaitKind
+from hollowrack.forwarding.slot_limits import FullCapacityLimits, SlotLimits
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
 from hollowrack.forwarding.workers import Eligible, WorkerDirectory
 
 # Pauses of workers end without notice, so that waiting items look again now and then.
-LOOK_AGAIN_S = 0.05
+DISPATCH_POLL_INTERVAL_S = 0.05
 
 RankOf = Callable[[], DispatchRank]
 
@@ -42,7 +42,7 @@
     since_s: float
     service: str
     is_eligible: Eligible
-    avoided: frozenset[WorkerLife]
+    avoided: frozenset[WorkerIncarnation]
     place: "asyncio.Future[Worker]"
 
     @property
@@ -79,7 +79,7 @@
         self._workers = workers
         self._limits = limits
         self._has_room: dict[tuple[str, Eligible], bool] = {}
-        self._without_place: set[tuple[str, Eligible, frozenset[WorkerLife]]] = set()
+        self._without_place: set[tuple[str, Eligible, frozenset[WorkerIncarnation]]] = set()
 
     def choose(self, waiter: _Waiter) -> Worker | None:
         """Choose a place for a waiter, without a look if there can be none."""
@@ -105,11 +105,11 @@
             self._has_room[need] = self._workers.has_room(*need, self._limits.limit)
         return self._has_room[need]
 
-    def _look(self, waiter: _Waiter, avoided: frozenset[WorkerLife]) -> Worker | None:
+    def _look(self, waiter: _Waiter, avoided: frozenset[WorkerIncarnation]) -> Worker | None:
         wish = (waiter.service, waiter.is_eligible, avoided)
         if wish in self._without_place:
             return None
-        worker = self._workers.choose_place(
+        worker = self._workers.choose_for_run(
             waiter.service, avoided, waiter.is_eligible, self._limits.limit
         )
         if worker is None:
@@ -130,7 +130,7 @@
     """
 
     def __init__(self, workers: WorkerDirectory) -> None:
-        self.limits: SlotLimits = WholeCapacity()
+        self.limits: SlotLimits = FullCapacityLimits()
         self.statistics = DispatchStatistics()
         self._workers = workers
         self._waiters: list[_Waiter] = []
@@ -139,18 +139,18 @@
         self._is_order_old = False
         # Number of the newest waiter that found no place when it was first looked at.
         self._newest_unplaced = -1
-        workers.on_change(self.look_again)
+        workers.on_change(self.schedule_dispatch)
 
     @property
     def num_waiting(self) -> int:
         """How many items wait."""
         return len(self._waiters)
 
-    def num_free_places(self, service: str, is_eligible: Eligible) -> int:
+    def num_free_slots(self, service: str, is_eligible: Eligible) -> int:
         """Return how many places this node may still give at the workers that will do."""
         return sum(
             max(0, self.limits.limit(worker) - self._workers.num_in_flight(worker))
-            for worker in self._workers.placeable(service)
+            for worker in self._workers.available_for_runs(service)
             if is_eligible(worker)
         )
 
@@ -169,7 +169,7 @@
         service: str,
         rank_of: RankOf,
         is_eligible: Eligible,
-        avoided: frozenset[WorkerLife],
+        avoided: frozenset[WorkerIncarnation],
     ) -> Worker:
         """Wait for a place at a worker; it counts as begun and must be given back.
 
@@ -193,22 +193,22 @@
             place,
         )
         bisect.insort(self._waiters, waiter, key=lambda other: other.sort_key)
-        self.look_again()
+        self.schedule_dispatch()
         try:
             return await place
         except asyncio.CancelledError:
             if place.done() and not place.cancelled():
-                self._workers.end(place.result())
+                self._workers.release_slot(place.result())
             raise
         finally:
             if waiter in self._waiters:
                 self._waiters.remove(waiter)
 
-    def note_reordered(self) -> None:
+    def invalidate_ranks(self) -> None:
         """Ranks of waiters may have changed: sort them before places are handed out again."""
         self._is_order_old = True
 
-    def look_again(self) -> None:
+    def schedule_dispatch(self) -> None:
         """Look for places at once: there may be new ones."""
         self._schedule(0.0)
 
@@ -235,7 +235,7 @@
         # Nodes share slots for the items of their jobs. A caller's stream is bound by no share: its
         # node may have none, as it may own no job.
         memories = {
-            WorkKind.CALLER_STREAM: _PassMemory(self._workers, WholeCapacity()),
+            WorkKind.CALLER_STREAM: _PassMemory(self._workers, FullCapacityLimits()),
             WorkKind.JOB_ITEM: _PassMemory(self._workers, self.limits),
         }
         left: list[_Waiter] = []
@@ -249,16 +249,16 @@
                 self._give(waiter, worker)
         self._waiters = left
         self._note_unplaced()
-        self._schedule(LOOK_AGAIN_S)
+        self._schedule(DISPATCH_POLL_INTERVAL_S)
 
     def _note_unplaced(self) -> None:
         """Tell once of each waiter that finds no place."""
         newest = max((waiter.number for waiter in self._waiters), default=-1)
         if newest > self._newest_unplaced:
             self._newest_unplaced = newest
-            self.limits.note_waiting()
+            self.limits.notify_waiting()
 
     def _give(self, waiter: _Waiter, worker: Worker) -> None:
-        self._workers.begin(worker)
-        self.statistics.note_wait(WaitPlace.NODE_QUEUE, now_s() - waiter.since_s)
+        self._workers.reserve_slot(worker)
+        self.statistics.record_wait(WaitKind.NODE_QUEUE, now_s() - waiter.since_s)
         waiter.place.set_result(worker)
--- a/src/hollowrack/forwarding/dispatch_rank.py
+++ b/src/hollowrack/forwarding/dispatch_rank.py
@@ -33,7 +33,7 @@
             when the item has to begin for that.
         sequence: Number of the job on this node; of jobs that are due together the earlier goes
             first.
-        group_place: Place of the item's group among those of its job.
+        group_rank: Place of the item's group among those of its job.
         minus_tokens_left: Tokens still expected, negated: the longest item of a group goes first,
             as what starts last should not be what takes longest.
     """
@@ -43,5 +43,5 @@
     usefulness: Usefulness = Usefulness.IN_TIME
     due_s: float = NEVER_DUE_S
     sequence: int = 0
-    group_place: int = 0
+    group_rank: int = 0
     minus_tokens_left: int = 0
--- a/src/hollowrack/forwarding/dispatch_statistics.py
+++ b/src/hollowrack/forwarding/dispatch_statistics.py
@@ -12,7 +12,7 @@
 BUCKET_BOUNDS_S = (0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0, 16.0)
 
 
-class WaitPlace(Enum):
+class WaitKind(Enum):
     """What is waited for; the value is the label of the metric."""
 
     NODE_QUEUE = "node_queue"
@@ -33,7 +33,7 @@
     counts: list[int] = field(default_factory=lambda: [0] * (len(BUCKET_BOUNDS_S) + 1))
     sum_s: float = 0.0
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Count one wait."""
         self.counts[bisect.bisect_left(BUCKET_BOUNDS_S, seconds)] += 1
         self.sum_s += seconds
@@ -49,10 +49,10 @@
     """
 
     def __init__(self) -> None:
-        self.waits = {place: WaitHistogram() for place in WaitPlace}
+        self.waits = {place: WaitHistogram() for place in WaitKind}
         self.num_running: Counter[str] = Counter()
         self.num_refusals: Counter[tuple[str, NotRunReason]] = Counter()
 
-    def note_wait(self, place: WaitPlace, seconds: float) -> None:
+    def record_wait(self, place: WaitKind, seconds: float) -> None:
         """Count one wait."""
-        self.waits[place].note(seconds)
+        self.waits[place].record(seconds)
--- a/src/hollowrack/forwarding/forwarder.py
+++ b/src/hollowrack/forwarding/forwarder.py
@@ -22,16 +22,16 @@
     NotRunReason,
     OpenAnswer,
 )
-from hollowrack.forwarding.call_places import CallPlaces
-from hollowrack.forwarding.early_refusal import EarlyRefusal
+from hollowrack.forwarding.call_limiter import CallLimiter
 from hollowrack.forwarding.hedged_run import HedgedRun
 from hollowrack.forwarding.hedging import HedgePolicy
+from hollowrack.forwarding.load_shedding import LoadShedder
 from hollowrack.forwarding.route_table import RouteTable
 from hollowrack.forwarding.types import Route, RouteKind, Worker
 from hollowrack.forwarding.workers import WorkerDirectory
 from hollowrack.quarantine.fingerprint import fingerprint_of
-from hollowrack.quarantine.quarantine import Quarantine, refusal
-from hollowrack.quarantine.types import Verdict
+from hollowrack.quarantine.quarantine import Quarantine, quarantine_problem
+from hollowrack.quarantine.types import QuarantineState
 from hollowrack.results import Problem
 from hollowrack.usage.meter import UsageMeter
 
@@ -68,7 +68,7 @@
 ForwardOutcome = WholeAnswer | Problem
 
 
-def end_of_request_s(request: ForwardRequest) -> float:
+def request_deadline_s(request: ForwardRequest) -> float:
     """When a request must have its final answer, on the loop's clock."""
     ends = [now_s() + 3600.0]
     if request.deadline_s is not None:
@@ -91,7 +91,7 @@
 
     Attributes:
         hedging: Decides on second attempts.
-        call_places: Places for calls of the system's own.
+        call_limiter: Places for calls of the system's own.
     """
 
     def __init__(
@@ -108,15 +108,15 @@
         self._back_ends = back_ends
         self._usage = usage
         self._quarantine = quarantine
-        self._early_refusal = EarlyRefusal(workers, rng)
+        self._early_refusal = LoadShedder(workers, rng)
         self.hedging = HedgePolicy()
-        self.call_places = CallPlaces(routes, workers)
+        self.call_limiter = CallLimiter(routes, workers)
 
     async def forward(self, request: ForwardRequest) -> ForwardOutcome:
         """Return a worker's answer, or the problem that stands in its place."""
-        end_s = end_of_request_s(request)
+        end_s = request_deadline_s(request)
         service = self._routes.choose_service(request.route)
-        refused = self._early_refusal.problem(
+        refused = self._early_refusal.check(
             request.call.request_id, request.route, service, end_s - now_s()
         )
         if refused is not None:
@@ -179,7 +179,7 @@
         self._service = service
         self._end_s = end_s
         self._fingerprint = fingerprint_of(request.call)
-        self._verdict: Verdict | None = None
+        self._verdict: QuarantineState | None = None
         self.history = AttemptHistory(request.call, request.route)
         self.failed_answer: WholeAnswer | None = None
 
@@ -189,16 +189,16 @@
             return None
         worker = self._workers.choose(self._service, self.history.tried)
         if worker is None and self.history.tried:
-            worker = self._workers.choose(self._service, self.history.ran_at)
+            worker = self._workers.choose(self._service, self.history.possibly_ran_at)
         return worker
 
     def spare_worker(self, late: Worker) -> Worker | None:
         """Return a worker that may run the request beside or instead of a late one."""
         if self._route.kind is not RouteKind.SAFE or not self._may_go_on():
             return None
-        return self._workers.choose_sooner(late, self.history.tried)
+        return self._workers.choose_for_hedge(late, self.history.tried)
 
-    def take_hedge(self) -> bool:
+    def spend_hedge_budget(self) -> bool:
         """Whether the budget allows an attempt beside a late one; spends it."""
         is_allowed = self._hedging.budget.take_retry()
         decision = "begins" if is_allowed else "is beyond the budget"
@@ -207,71 +207,71 @@
 
     def _may_go_on(self) -> bool:
         # Asked before each worker: the request may have ended others at other nodes meanwhile.
-        self._verdict = self._quarantine.verdict(self._fingerprint)
-        return self._verdict is None and self.history.may_go_on()
+        self._verdict = self._quarantine.quarantine_state(self._fingerprint)
+        return self._verdict is None and self.history.may_retry()
 
     def late_after_s(self) -> float:
         """How long an attempt that begins now may take until it is late, in seconds."""
         time_left_s = self._end_s - now_s()
         return self._hedging.delay_s(self._service, self._route.target_latency_s, time_left_s)
 
-    def note_late(self, worker: Worker, seconds: float) -> None:
+    def record_late(self, worker: Worker, seconds: float) -> None:
         """An attempt has not ended within the time of nearly all others."""
         logging.info(
             "request %s: worker %s is late after %.3f s",
             self._call.request_id,
-            worker.life,
+            worker.incarnation,
             seconds,
         )
-        self._workers.loads.note_late(worker, self._route.name, seconds)
+        self._workers.loads.record_late(worker, self._route.name, seconds)
 
-    def note_given_up(self, worker: Worker) -> None:
+    def record_abandoned(self, worker: Worker) -> None:
         """A late attempt is cut off for another one."""
-        self._workers.note_failure(worker)
-        self.history.failed(worker, "silent")
+        self._workers.record_failure(worker)
+        self.history.record_failure(worker, "silent")
 
     async def attempt(self, worker: Worker) -> WholeAnswer | None:
         """Try one worker; ``None`` if the request needs another one."""
-        self._workers.begin(worker)
-        self.history.begin(worker)
+        self._workers.reserve_slot(worker)
+        self.history.record_start(worker)
         sent_s = now_s()
-        num_turns = self._workers.num_turns(worker)
+        num_turns = self._workers.queueing_factor(worker)
         begun_s = self._usage.time_s()
         may_have_begun = True
         try:
             answer = await self._exchange(worker)
         except NotRunError as error:
             may_have_begun = False
-            self._workers.note_not_run(worker, error.reason)
-            self.history.did_not_run(worker, error.reason)
+            self._workers.record_not_run(worker, error.reason)
+            self.history.record_not_run(worker, error.reason)
             if error.reason is NotRunReason.BUSY:
                 await asyncio.sleep(REFUSAL_PAUSE_S)
             return None
         except BrokenAnswerError as error:
-            self._workers.note_failure(worker)
-            self.history.failed(worker, str(error))
-            self._quarantine.note_break(self._call.request_id, self._fingerprint, worker)
+            self._workers.record_failure(worker)
+            self.history.record_failure(worker, str(error))
+            self._quarantine.record_disconnect(self._call.request_id, self._fingerprint, worker)
             return None
         finally:
-            self._workers.end(worker)
+            self._workers.release_slot(worker)
             if may_have_begun:
                 # A worker that gave no answer has most likely begun: it had taken the request.
-                self._usage.note_begun(self._call.tenant, begun_s)
+                self._usage.record_request(self._call.tenant, begun_s)
         if answer.status < FIRST_SERVER_ERROR:
             seconds = now_s() - sent_s
-            self._hedging.note_answer(self._service, seconds)
+            self._hedging.record_answer(self._service, seconds)
             # This node's own requests before it say nothing of the worker's speed.
             self._note_good(worker, answer, seconds / num_turns)
             return answer
         self.failed_answer = answer
-        self.history.failed(worker, f"status {answer.status}")
+        self.history.record_failure(worker, f"status {answer.status}")
         return None
 
     def _note_good(self, worker: Worker, answer: WholeAnswer, pace_s: float) -> None:
-        self._workers.note_success(worker)
-        self._workers.note_pace(worker, pace_s, self._route.name)
+        self._workers.record_success(worker)
+        self._workers.record_latency(worker, pace_s, self._route.name)
         if answer.status in HTTP_SUCCESS:
-            self._quarantine.note_good(self._fingerprint)
+            self._quarantine.record_success(self._fingerprint)
 
     async def _exchange(self, worker: Worker) -> WholeAnswer:
         opened: OpenAnswer | None = None
@@ -283,7 +283,7 @@
                 is_repeatable=self._route.is_idempotent,
             )
             if opened.load_report is not None:
-                self._workers.loads.note_report(worker, opened.load_report)
+                self._workers.loads.record_report(worker, opened.load_report)
             body = await opened.read()
             return WholeAnswer(opened.status, opened.headers, body, opened.signature)
         finally:
@@ -294,6 +294,6 @@
         """What the caller is told when no worker may be tried any more."""
         if self.failed_answer is not None:
             return self.failed_answer
-        if self._verdict is not None and not self.history.ran_at:
-            return refusal(self._verdict, self._fingerprint, self._call.request_id)
+        if self._verdict is not None and not self.history.possibly_ran_at:
+            return quarantine_problem(self._verdict, self._fingerprint, self._call.request_id)
         return self.history.no_worker_left()
--- a/src/hollowrack/forwarding/hedged_run.py
+++ b/src/hollowrack/forwarding/hedged_run.py
@@ -25,7 +25,7 @@
         It has room, and should answer sooner than the late one.
         """
 
-    def take_hedge(self) -> bool:
+    def spend_hedge_budget(self) -> bool:
         """Whether the budget allows an attempt beside a late one; spends it."""
 
     async def attempt(self, worker: Worker) -> Answer_co | None:
@@ -34,10 +34,10 @@
     def late_after_s(self) -> float:
         """How long an attempt that begins now may take until it is late, in seconds."""
 
-    def note_late(self, worker: Worker, seconds: float) -> None:
+    def record_late(self, worker: Worker, seconds: float) -> None:
         """An attempt has not ended within the time of nearly all others."""
 
-    def note_given_up(self, worker: Worker) -> None:
+    def record_abandoned(self, worker: Worker) -> None:
         """A late attempt is cut off for another one."""
 
 
@@ -112,9 +112,9 @@
         latest = self._running[-1]
         if not latest.is_late:
             latest.is_late = True
-            self._source.note_late(latest.worker, now_s() - latest.begun_s)
+            self._source.record_late(latest.worker, now_s() - latest.begun_s)
         spare = self._source.spare_worker(latest.worker)
-        if spare is not None and self._source.take_hedge():
+        if spare is not None and self._source.spend_hedge_budget():
             self._begin(spare)
             return
         give_up_s = latest.begun_s + GIVE_UP_SHARE * (self._end_s - latest.begun_s)
@@ -127,7 +127,7 @@
 
     async def _replace(self, attempt: _Attempt[Answer], worker: Worker) -> None:
         """Cut an attempt off for another worker."""
-        self._source.note_given_up(attempt.worker)
+        self._source.record_abandoned(attempt.worker)
         self._running.remove(attempt)
         await cancel_all(attempt.task)
         self._begin(worker)
--- a/src/hollowrack/forwarding/hedging.py
+++ b/src/hollowrack/forwarding/hedging.py
@@ -37,7 +37,7 @@
         self.budget = RetryBudget(HEDGE_SHARE, MAX_SAVED_HEDGES)
         self._answer_times_s: dict[str, deque[float]] = {}
 
-    def note_answer(self, service: str, seconds: float) -> None:
+    def record_answer(self, service: str, seconds: float) -> None:
         """An attempt at a worker of a service took this long for its whole answer, in seconds."""
         times_s = self._answer_times_s.setdefault(service, deque(maxlen=NUM_ANSWERS_KEPT))
         times_s.append(seconds)
--- a/src/hollowrack/forwarding/early_refusal.py
+++ b/src/hollowrack/forwarding/load_shedding.py
@@ -20,7 +20,7 @@
 MAX_RETRY_AFTER_S = 5.0
 
 
-class EarlyRefusal:
+class LoadShedder:
     """Decides which requests to refuse at once.
 
     Args:
@@ -32,7 +32,7 @@
         self._workers = workers
         self._rng = rng
 
-    def problem(
+    def check(
         self, request_id: str, route: Route, service: str, time_left_s: float
     ) -> Problem | None:
         """Return the refusal of a request that was sent to no worker yet; ``None`` to send it.
--- a/src/hollowrack/forwarding/faster_place.py
+++ b/src/hollowrack/forwarding/migration.py
@@ -7,7 +7,7 @@
 from hollowrack.forwarding.workers import WorkerDirectory
 
 
-class MovePolicy(Protocol):
+class MigrationPolicy(Protocol):
     """Decides when a run should go on at a faster worker, and at which."""
 
     def is_worthwhile(self, worker: Worker, num_events: int) -> bool:
@@ -17,7 +17,7 @@
         """Wait for a place at a clearly faster worker; the place must be given back."""
 
 
-class FasterPlace:
+class MigrationSlot:
     """The place that one run waits for, if it waits for one.
 
     Args:
@@ -25,12 +25,12 @@
         policy: When to move; ``None`` for never.
     """
 
-    def __init__(self, workers: WorkerDirectory, policy: MovePolicy | None) -> None:
+    def __init__(self, workers: WorkerDirectory, policy: MigrationPolicy | None) -> None:
         self._workers = workers
         self._policy = policy
         self._waiting: asyncio.Task[Worker] | None = None
 
-    def look(self, worker: Worker, num_events: int) -> bool:
+    def poll(self, worker: Worker, num_events: int) -> bool:
         """Ask for a place if that is worthwhile; returns whether there is one now."""
         if self._policy is None:
             return False
@@ -38,7 +38,7 @@
             self._waiting = asyncio.create_task(self._policy.acquire_faster(worker, num_events))
         return self._waiting is not None and self._waiting.done()
 
-    def take(self) -> Worker | None:
+    def claim(self) -> Worker | None:
         """Return the place if there is one; otherwise the run waits for it no longer."""
         waiting, self._waiting = self._waiting, None
         if waiting is None or waiting.cancelled():
@@ -50,6 +50,6 @@
 
     def close(self) -> None:
         """Give back a place that the run does not need."""
-        place = self.take()
+        place = self.claim()
         if place is not None:
-            self._workers.end(place)
+            self._workers.release_slot(place)
--- a/src/hollowrack/forwarding/resumable_run.py
+++ b/src/hollowrack/forwarding/resumable_run.py
@@ -19,11 +19,11 @@
 )
 from hollowrack.forwarding.dispatch_statistics import DispatchStatistics
 from hollowrack.forwarding.event_stream import EventStreamError, EventStreamParser, StreamEvent
-from hollowrack.forwarding.faster_place import FasterPlace, MovePolicy
-from hollowrack.forwarding.patience import FirstEventPatience
-from hollowrack.forwarding.run_places import RunPlaces
+from hollowrack.forwarding.first_event_timeout import FirstEventTimeout
+from hollowrack.forwarding.migration import MigrationPolicy, MigrationSlot
+from hollowrack.forwarding.run_retry_policy import RunRetryPolicy
 from hollowrack.forwarding.run_waits import RunWaits
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
 from hollowrack.forwarding.workers import Eligible, WorkerDirectory
 from hollowrack.quarantine.fingerprint import fingerprint_of
 from hollowrack.quarantine.quarantine import Quarantine
@@ -33,17 +33,17 @@
 FIRST_SERVER_ERROR = 500
 MIN_PAUSE_S = 0.02
 # A run moves to faster workers and away from much slower ones, but not again and again.
-MIN_EVENTS_BEFORE_MOVE = 6
-EVENTS_BETWEEN_LOOKS = 3
-MAX_MOVES = 3
-MAX_ESCAPES = 3
+MIN_EVENTS_BEFORE_MIGRATION = 6
+EVENTS_BETWEEN_MIGRATION_CHECKS = 3
+MAX_MIGRATIONS = 3
+MAX_SLOW_WORKER_EXITS = 3
 
 
 class _SlowWorkerError(Exception):
     """The run is better off elsewhere."""
 
 
-class RunEnd(Enum):
+class RunEndReason(Enum):
     """Why a run ended without its last event."""
 
     REJECTED = "a worker says that it can never be done"
@@ -54,9 +54,9 @@
 class RunEndedError(Exception):
     """The run is over for good, with the answer of the last worker."""
 
-    def __init__(self, end: RunEnd) -> None:
+    def __init__(self, end: RunEndReason) -> None:
         super().__init__(end.value)
-        self.end = end
+        self.reason = end
 
 
 @dataclass(frozen=True)
@@ -73,22 +73,22 @@
 
     Attributes:
         max_failures: Most answers that say the run failed.
-        patience: Longest wait for the head of an answer.
-        silence_s: Longest pause inside an answer, in seconds.
+        first_event_timeout: Longest wait for the head of an answer.
+        idle_timeout_s: Longest pause inside an answer, in seconds.
         time_left_s: Time handed to a worker, in seconds.
         max_workers: Most workers that the run may begin at, without those that are gone; ``None``
             for any number.
     """
 
     max_failures: int
-    patience: FirstEventPatience
-    silence_s: float
+    first_event_timeout: FirstEventTimeout
+    idle_timeout_s: float
     time_left_s: float
     max_workers: int | None = None
 
 
 # The lives to avoid, and a further condition on the worker, if there is one.
-AcquireWorker = Callable[[frozenset[WorkerLife], Eligible | None], Awaitable[Worker]]
+AcquireWorker = Callable[[frozenset[WorkerIncarnation], Eligible | None], Awaitable[Worker]]
 ReadVersion = Callable[[StreamEvent], int | None]
 AcceptVersion = Callable[[int | None], bool]
 
@@ -107,7 +107,7 @@
         limits: Bounds.
         quarantine: Keeps calls that end their workers from further workers.
         after_event: Begin behind this event; ``None`` for the beginning.
-        moves: When the run should go on at a faster worker; ``None`` for never.
+        migration_policy: When the run should go on at a faster worker; ``None`` for never.
         waits: Follows what the run waits for; ``None`` if nobody wants to know.
     """
 
@@ -122,12 +122,12 @@
         limits: RunLimits,
         quarantine: Quarantine,
         after_event: int | None = None,
-        moves: MovePolicy | None = None,
+        migration_policy: MigrationPolicy | None = None,
         waits: RunWaits | None = None,
     ) -> None:
         self.head: OpenAnswer | None = None
         self.num_attempts = 0
-        self.waited_for_places_s = 0.0
+        self.queue_wait_s = 0.0
         self.waits = waits or RunWaits("", DispatchStatistics())
         self._call = call
         self._back_ends = back_ends
@@ -142,12 +142,12 @@
         self._num_failures = 0
         self._num_moves = 0
         self._num_escapes = 0
-        self._avoided: frozenset[WorkerLife] = frozenset()
-        self._faster = FasterPlace(workers, moves)
-        self._places = RunPlaces(
+        self._avoided: frozenset[WorkerIncarnation] = frozenset()
+        self._faster = MigrationSlot(workers, migration_policy)
+        self._places = RunRetryPolicy(
             limits.max_failures,
             limits.max_workers,
-            workers.knows,
+            workers.is_current,
             workers.rng,
         )
 
@@ -166,56 +166,56 @@
         finally:
             self._faster.close()
             if not is_whole:
-                self._quarantine.note_left(self._fingerprint)
+                self._quarantine.record_abandoned(self._fingerprint)
 
     async def _attempts(self) -> AsyncGenerator[VersionedEvent]:
         while True:
-            waited_before_s = self.waited_for_places_s
+            waited_before_s = self.queue_wait_s
             worker = await self._next_allowed_place()
             self.num_attempts += 1
-            self.waits.note_begin(worker.life, self.waited_for_places_s - waited_before_s)
+            self.waits.record_start(worker.incarnation, self.queue_wait_s - waited_before_s)
             is_fruitless = True
             try:
                 async with contextlib.aclosing(self._events_of(worker)) as events:
                     async for event in events:
                         is_fruitless = False
-                        self._places.note_progress()
+                        self._places.record_progress()
                         yield event
-                self._workers.note_success(worker)
-                self._quarantine.note_good(self._fingerprint)
+                self._workers.record_success(worker)
+                self._quarantine.record_success(self._fingerprint)
                 return
             except NotRunError as error:
-                self._workers.note_not_run(worker, error.reason)
-                self.waits.note_not_run(error.reason)
+                self._workers.record_not_run(worker, error.reason)
+                self.waits.record_not_run(error.reason)
                 if error.reason is NotRunReason.UNREACHABLE:
-                    self._places.note_unreachable(worker)
+                    self._places.record_unreachable(worker)
             except _SlowWorkerError:
                 logging.info(
                     "run %s: leaves slower worker %s after event %s",
                     self._call.request_id,
-                    worker.life,
+                    worker.incarnation,
                     self._last_number,
                 )
             except (BrokenAnswerError, EventStreamError, TimeoutError) as error:
-                self._workers.note_failure(worker)
-                self._places.note_begun(worker)
+                self._workers.record_failure(worker)
+                self._places.record_start(worker)
                 if is_fruitless:
-                    self._places.note_fruitless(worker)
+                    self._places.record_no_progress(worker)
                 logging.info(
                     "run %s: worker %s: %s after event %s",
                     self._call.request_id,
-                    worker.life,
+                    worker.incarnation,
                     str(error) or "silent",
                     self._last_number,
                 )
                 if isinstance(error, BrokenAnswerError):
-                    self._quarantine.note_break(
-                        self._call.request_id, self._fingerprint, worker, goes_on=True
+                    self._quarantine.record_disconnect(
+                        self._call.request_id, self._fingerprint, worker, is_retried_here=True
                     )
             finally:
-                self.waits.note_end()
+                self.waits.record_end()
                 self._leave(worker)
-            self._avoided = frozenset({worker.life})
+            self._avoided = frozenset({worker.incarnation})
             await asyncio.sleep(MIN_PAUSE_S)
 
     async def _next_allowed_place(self) -> Worker:
@@ -228,36 +228,36 @@
         while True:
             self._check_quarantine()
             worker = await self._next_place()
-            places = self._quarantine.places
+            places = self._quarantine.suspect_placement
             # Others may have been placed there since the place was chosen.
-            if self._is_allowed() and places.allows(self._fingerprint, worker.life):
-                places.begin(self._fingerprint, worker.life)
+            if self._is_allowed() and places.allows(self._fingerprint, worker.incarnation):
+                places.begin(self._fingerprint, worker.incarnation)
                 return worker
-            self._workers.end(worker)
+            self._workers.release_slot(worker)
             await asyncio.sleep(MIN_PAUSE_S)
 
     def _leave(self, worker: Worker) -> None:
-        self._quarantine.places.end(self._fingerprint, worker.life)
-        self._workers.end(worker)
+        self._quarantine.suspect_placement.end(self._fingerprint, worker.incarnation)
+        self._workers.release_slot(worker)
 
     def _is_allowed(self) -> bool:
-        return self._quarantine.verdict(self._fingerprint) is None
+        return self._quarantine.quarantine_state(self._fingerprint) is None
 
     def _check_quarantine(self) -> None:
         if not self._is_allowed():
-            raise RunEndedError(RunEnd.QUARANTINED)
+            raise RunEndedError(RunEndReason.QUARANTINED)
 
     async def _next_place(self) -> Worker:
         """The faster place that the run has asked for, or else the first that is free."""
-        faster = self._faster.take()
+        faster = self._faster.claim()
         if faster is not None:
             if self._may_begin(faster):
                 return faster
-            self._workers.end(faster)
+            self._workers.release_slot(faster)
         began_waiting_s = now_s()
         condition = self._may_begin if self._places.are_restricted else None
         worker = await self._acquire(self._avoided, condition)
-        self.waited_for_places_s += now_s() - began_waiting_s
+        self.queue_wait_s += now_s() - began_waiting_s
         return worker
 
     def _may_begin(self, worker: Worker) -> bool:
@@ -267,12 +267,12 @@
         answer: OpenAnswer | None = None
         try:
             sent_s = now_s()
-            async with asyncio.timeout(self._limits.patience.value_s):
+            async with asyncio.timeout(self._limits.first_event_timeout.value_s):
                 answer = await self._back_ends.open(
                     worker, self._call, self._limits.time_left_s, self._last_number
                 )
-            self._limits.patience.note(now_s() - sent_s)
-            self._places.note_begun(worker)
+            self._limits.first_event_timeout.record(now_s() - sent_s)
+            self._places.record_start(worker)
             self._check_status(answer)
             if not self._accepts_version(answer.weight_version):
                 raise NotRunError(NotRunReason.BUSY)
@@ -289,11 +289,11 @@
         if answer.status == HTTP_OK:
             return
         if answer.status == HTTP_UNPROCESSABLE:
-            raise RunEndedError(RunEnd.REJECTED)
+            raise RunEndedError(RunEndReason.REJECTED)
         if answer.status == FIRST_SERVER_ERROR:
             self._num_failures += 1
             if self._num_failures >= self._limits.max_failures:
-                raise RunEndedError(RunEnd.FAILED_TOO_OFTEN)
+                raise RunEndedError(RunEndReason.FAILED_TOO_OFTEN)
         raise BrokenAnswerError(f"status {answer.status}")
 
     async def _whole_events(
@@ -301,20 +301,20 @@
     ) -> AsyncGenerator[VersionedEvent]:
         parser = EventStreamParser()
         num_events = 0
-        next_look = MIN_EVENTS_BEFORE_MOVE
+        next_look = MIN_EVENTS_BEFORE_MIGRATION
         last_s = now_s()
         version = answer.weight_version
         chunks = answer.chunks()
         while True:
             try:
-                async with asyncio.timeout(self._limits.silence_s):
+                async with asyncio.timeout(self._limits.idle_timeout_s):
                     chunk = await anext(chunks)
             except StopAsyncIteration:
                 break
             whole = parser.feed(chunk)
             if whole:
-                self.waits.note_event()
-                self._workers.note_pace(worker, (now_s() - last_s) / len(whole))
+                self.waits.record_event()
+                self._workers.record_latency(worker, (now_s() - last_s) / len(whole))
                 last_s = now_s()
                 num_events += len(whole)
             for event in whole:
@@ -325,7 +325,7 @@
                 self._last_number = event.number
                 yield VersionedEvent(event, version)
             if num_events >= next_look:
-                next_look = num_events + EVENTS_BETWEEN_LOOKS
+                next_look = num_events + EVENTS_BETWEEN_MIGRATION_CHECKS
                 if self._should_move(worker):
                     raise _SlowWorkerError
         if parser.has_partial_event:
@@ -334,11 +334,11 @@
     def _should_move(self, worker: Worker) -> bool:
         if not self._places.may_leave(worker):
             return False
-        if self._num_moves < MAX_MOVES and self._faster.look(worker, self._last_number or 0):
+        if self._num_moves < MAX_MIGRATIONS and self._faster.poll(worker, self._last_number or 0):
             self._num_moves += 1
             return True
         # Counted apart: a run that has moved for little must still get away from such a worker.
-        if self._num_escapes < MAX_ESCAPES and self._workers.is_much_slower(worker):
+        if self._num_escapes < MAX_SLOW_WORKER_EXITS and self._workers.is_much_slower(worker):
             self._num_escapes += 1
             return True
         return False
--- a/src/hollowrack/forwarding/run_waits.py
+++ b/src/hollowrack/forwarding/run_waits.py
@@ -5,8 +5,8 @@
 
 from hollowrack.clock import now_s
 from hollowrack.forwarding.back_end import NotRunReason
-from hollowrack.forwarding.dispatch_statistics import DispatchStatistics, WaitPlace
-from hollowrack.forwarding.types import WorkerLife
+from hollowrack.forwarding.dispatch_statistics import DispatchStatistics, WaitKind
+from hollowrack.forwarding.types import WorkerIncarnation
 
 # Keeps the log line of a run that is refused again and again short.
 MAX_ATTEMPTS_TOLD = 6
@@ -24,7 +24,7 @@
         refusal: Why the worker did not run it; ``None`` if it may have.
     """
 
-    life: WorkerLife
+    life: WorkerIncarnation
     queued_s: float
     sent_s: float
     first_event_s: float | None = None
@@ -62,27 +62,27 @@
         """Whether an attempt has a place at a worker now."""
         return self._is_at_worker
 
-    def note_begin(self, life: WorkerLife, queued_s: float) -> None:
+    def record_start(self, life: WorkerIncarnation, queued_s: float) -> None:
         """An attempt begins at a worker, whose place was waited for so many seconds."""
         self._attempts.append(_Attempt(life, queued_s, now_s()))
         self._num_attempts += 1
         self._is_at_worker = True
         self._statistics.num_running[self._service] += 1
 
-    def note_event(self) -> None:
+    def record_event(self) -> None:
         """The worker has sent an event."""
         attempt = self._attempts[-1]
         if attempt.first_event_s is None:
             attempt.first_event_s = now_s() - attempt.sent_s
-            self._statistics.note_wait(WaitPlace.FIRST_EVENT, attempt.first_event_s)
+            self._statistics.record_wait(WaitKind.FIRST_EVENT, attempt.first_event_s)
 
-    def note_not_run(self, reason: NotRunReason) -> None:
+    def record_not_run(self, reason: NotRunReason) -> None:
         """The worker certainly did not run the attempt."""
         self._attempts[-1].refusal = reason
         self._num_refusals += 1
         self._statistics.num_refusals[(self._service, reason)] += 1
 
-    def note_end(self) -> None:
+    def record_end(self) -> None:
         """The attempt has left its worker."""
         self._is_at_worker = False
         self._statistics.num_running[self._service] -= 1
--- a/src/hollowrack/forwarding/slot_limits.py
+++ b/src/hollowrack/forwarding/slot_limits.py
@@ -11,16 +11,16 @@
     def limit(self, worker: Worker) -> int:
         """Return how many requests this node may have in flight at a worker."""
 
-    def note_waiting(self) -> None:
+    def notify_waiting(self) -> None:
         """Work has come that has no slot."""
 
 
-class WholeCapacity:
+class FullCapacityLimits:
     """Every slot of every worker may be used."""
 
     def limit(self, worker: Worker) -> int:
         """Return the worker's capacity; one that tells none takes one request."""
         return max(1, worker.capacity)
 
-    def note_waiting(self) -> None:
+    def notify_waiting(self) -> None:
         """Nobody else could give up a slot."""
--- a/src/hollowrack/forwarding/stream_forwarder.py
+++ b/src/hollowrack/forwarding/stream_forwarder.py
@@ -16,25 +16,25 @@
 from hollowrack.forwarding.dispatch_queue import DispatchQueue, any_worker
 from hollowrack.forwarding.dispatch_rank import DispatchRank, WorkKind
 from hollowrack.forwarding.event_stream import StreamEvent
+from hollowrack.forwarding.first_event_timeout import FirstEventTimeout
 from hollowrack.forwarding.forwarder import (
     HTTP_SUCCESS,
     ForwardRequest,
-    end_of_request_s,
+    request_deadline_s,
 )
-from hollowrack.forwarding.patience import FirstEventPatience
 from hollowrack.forwarding.resumable_run import ResumableRun, RunEndedError, RunLimits
 from hollowrack.forwarding.route_table import RouteTable
 from hollowrack.forwarding.run_waits import RunWaits
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
 from hollowrack.forwarding.workers import Eligible, WorkerDirectory
 from hollowrack.quarantine.fingerprint import fingerprint_of
-from hollowrack.quarantine.quarantine import Quarantine, refusal
+from hollowrack.quarantine.quarantine import Quarantine, quarantine_problem
 from hollowrack.results import Problem, ResultCode
 from hollowrack.usage.meter import UsageMeter
 
-MIN_FIRST_EVENT_S = 0.8
-MAX_FIRST_EVENT_S = 2.5
-SILENCE_TIMEOUT_S = 1.5
+MIN_FIRST_EVENT_TIMEOUT_S = 0.8
+MAX_FIRST_EVENT_TIMEOUT_S = 2.5
+STREAM_IDLE_TIMEOUT_S = 1.5
 
 
 @dataclass(frozen=True)
@@ -78,7 +78,7 @@
         self._read_version = read_version
         self._usage = usage
         self._quarantine = quarantine
-        self._patience = FirstEventPatience(MIN_FIRST_EVENT_S, MAX_FIRST_EVENT_S)
+        self._patience = FirstEventTimeout(MIN_FIRST_EVENT_TIMEOUT_S, MAX_FIRST_EVENT_TIMEOUT_S)
 
     def forward(
         self, request: ForwardRequest, after_event: int | None
@@ -92,17 +92,19 @@
         self, request: ForwardRequest, after_event: int | None
     ) -> AsyncGenerator[StreamPart]:
         service = self._routes.choose_service(request.route)
-        end_s = end_of_request_s(request)
+        end_s = request_deadline_s(request)
         rank = DispatchRank(request.route.priority, WorkKind.CALLER_STREAM)
 
-        async def acquire(avoided: frozenset[WorkerLife], may_begin: Eligible | None) -> Worker:
+        async def acquire(
+            avoided: frozenset[WorkerIncarnation], may_begin: Eligible | None
+        ) -> Worker:
             condition = may_begin or any_worker
             return await self._queue.acquire(service, lambda: rank, condition, avoided)
 
         limits = RunLimits(
             request.route.max_attempts,
             self._patience,
-            SILENCE_TIMEOUT_S,
+            STREAM_IDLE_TIMEOUT_S,
             end_s - now_s(),
             request.route.max_attempts,
         )
@@ -131,30 +133,30 @@
             if has_begun:
                 raise BrokenAnswerError(str(error)) from error
             fingerprint = fingerprint_of(request.call)
-            verdict = self._quarantine.verdict(fingerprint)
+            verdict = self._quarantine.quarantine_state(fingerprint)
             if verdict is not None and run.num_attempts == 0:
-                yield refusal(verdict, fingerprint, request.call.request_id)
+                yield quarantine_problem(verdict, fingerprint, request.call.request_id)
             else:
                 yield Problem(ResultCode.BACK_END_FAILED, str(error), request.call.request_id)
 
     def _note_begun(self, request: ForwardRequest) -> None:
-        self._usage.note_begun(request.call.tenant, self._usage.time_s())
+        self._usage.record_request(request.call.tenant, self._usage.time_s())
 
     async def _once(
         self, request: ForwardRequest, after_event: int | None
     ) -> AsyncGenerator[StreamPart]:
         fingerprint = fingerprint_of(request.call)
-        verdict = self._quarantine.verdict(fingerprint)
+        verdict = self._quarantine.quarantine_state(fingerprint)
         if verdict is not None:
-            yield refusal(verdict, fingerprint, request.call.request_id)
+            yield quarantine_problem(verdict, fingerprint, request.call.request_id)
             return
         service = self._routes.choose_service(request.route)
-        refused: set[WorkerLife] = set()
+        refused: set[WorkerIncarnation] = set()
         while len(refused) < MAX_REFUSALS:
             worker = self._workers.choose(service, refused)
             if worker is None:
                 break
-            self._workers.begin(worker)
+            self._workers.reserve_slot(worker)
             try:
                 async with contextlib.aclosing(
                     self._pieces(worker, request, after_event)
@@ -163,10 +165,10 @@
                         yield piece
                 return
             except NotRunError as error:
-                refused.add(worker.life)
-                self._workers.note_not_run(worker, error.reason)
+                refused.add(worker.incarnation)
+                self._workers.record_not_run(worker, error.reason)
             finally:
-                self._workers.end(worker)
+                self._workers.release_slot(worker)
         detail = "no worker took the request"
         yield Problem(ResultCode.NO_BACK_END, detail, request.call.request_id, RETRY_AFTER_S)
 
@@ -176,7 +178,7 @@
         answer: OpenAnswer | None = None
         has_begun = False
         try:
-            time_left_s = end_of_request_s(request) - now_s()
+            time_left_s = request_deadline_s(request) - now_s()
             answer = await self._back_ends.open(
                 worker, request.call, time_left_s, after_event, is_repeatable=False
             )
@@ -186,10 +188,10 @@
             async for chunk in answer.chunks():
                 yield chunk
             if answer.status in HTTP_SUCCESS:
-                self._quarantine.note_good(fingerprint_of(request.call))
+                self._quarantine.record_success(fingerprint_of(request.call))
         except BrokenAnswerError as error:
-            self._workers.note_failure(worker)
-            self._quarantine.note_break(
+            self._workers.record_failure(worker)
+            self._quarantine.record_disconnect(
                 request.call.request_id, fingerprint_of(request.call), worker
             )
             if has_begun:
--- a/src/hollowrack/forwarding/types.py
+++ b/src/hollowrack/forwarding/types.py
@@ -126,7 +126,7 @@
 
 
 @dataclass(frozen=True, order=True)
-class WorkerLife:
+class WorkerIncarnation:
     """One incarnation of a back end: an identity may return with nothing of what it held.
 
     Attributes:
@@ -167,9 +167,9 @@
 
     # Made once: each choice of a worker asks it of all candidates.
     @cached_property
-    def life(self) -> WorkerLife:
+    def incarnation(self) -> WorkerIncarnation:
         """What everything that remembers something of a worker remembers it by."""
-        return WorkerLife(self.id, self.started_ms)
+        return WorkerIncarnation(self.id, self.started_ms)
 
     def holds(self, model: str, min_version: int) -> bool:
         """Whether its weights of a model are at least of a version; true of an empty model."""
--- a/src/hollowrack/forwarding/worker_paces.py
+++ b/src/hollowrack/forwarding/worker_event_intervals.py
@@ -11,7 +11,7 @@
 from statistics import median
 
 from hollowrack.clock import now_s
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
 
 # Events of the last seconds of a worker with a few runs, of which the median is taken now and then:
 # taking it at each event would cost more than it tells.
@@ -49,7 +49,7 @@
     noted_s: float = 0.0
 
 
-class WorkerPaces:
+class WorkerEventIntervals:
     """Paces of all workers, as multiples of the best of their service.
 
     Args:
@@ -58,12 +58,12 @@
 
     def __init__(self, serving: Callable[[str], list[Worker]]) -> None:
         self._serving = serving
-        self._paces: dict[WorkerLife, _Pace] = {}
+        self._paces: dict[WorkerIncarnation, _Pace] = {}
         self._best_paces_s: dict[str, float] = {}
 
-    def note(self, worker: Worker, seconds: float) -> None:
+    def record(self, worker: Worker, seconds: float) -> None:
         """A worker took this long for one unit of its work."""
-        pace = self._paces.setdefault(worker.life, _Pace())
+        pace = self._paces.setdefault(worker.incarnation, _Pace())
         pace.paces_s.append(seconds)
         pace.noted_s = now_s()
         pace.num_noted += 1
@@ -72,11 +72,11 @@
             pace.pace_s = median(pace.paces_s)
             self._best_paces_s.clear()
 
-    def note_workers_changed(self) -> None:
+    def invalidate_best(self) -> None:
         """Workers came or went: the best of a service may be another one."""
         self._best_paces_s.clear()
 
-    def forget(self, life: WorkerLife) -> None:
+    def remove(self, life: WorkerIncarnation) -> None:
         """A life of a worker is over."""
         self._paces.pop(life, None)
 
@@ -84,7 +84,7 @@
         """Whether a worker has lately been much slower than the best of its service."""
         return self._slowness(worker, PACE_FADE_S, MIN_SLOWNESS) >= MUCH_SLOWER
 
-    def slowness_for_placing(self, worker: Worker) -> float:
+    def placement_slowness(self, worker: Worker) -> float:
         """A worker's own pace as a multiple of the best of its service."""
         return self._slowness(worker, PLACING_FADE_S, MIN_PLACING_SLOWNESS)
 
@@ -99,12 +99,12 @@
         pace_s = self._known_pace_s(worker)
         if pace_s is None:
             return 0.0
-        other_slowness = 1.0 if other is None else self.slowness_for_placing(other)
-        return num_units * pace_s * (1.0 - other_slowness / self.slowness_for_placing(worker))
+        other_slowness = 1.0 if other is None else self.placement_slowness(other)
+        return num_units * pace_s * (1.0 - other_slowness / self.placement_slowness(worker))
 
     def _slowness(self, worker: Worker, fade_s: float, least: float) -> float:
         """A worker's pace against the best; 1 if nothing is known or it is less than ``least``."""
-        pace = self._paces.get(worker.life)
+        pace = self._paces.get(worker.incarnation)
         if pace is None or pace.pace_s is None:
             return 1.0
         best_s = max(self._best_pace_s(worker.service), MIN_PACE_S)
@@ -122,5 +122,5 @@
         return self._best_paces_s[service]
 
     def _known_pace_s(self, worker: Worker) -> float | None:
-        pace = self._paces.get(worker.life)
+        pace = self._paces.get(worker.incarnation)
         return None if pace is None else pace.pace_s
--- a/src/hollowrack/forwarding/worker_load.py
+++ b/src/hollowrack/forwarding/worker_load.py
@@ -12,7 +12,7 @@
 
 from hollowrack.clock import now_s
 from hollowrack.forwarding.back_end import LoadReport
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
 
 # What is known of a worker's speed fades within this time, in seconds: workers turn slow for
 # seconds, and one that is avoided shows in no other way that it is fast again.
@@ -20,7 +20,7 @@
 # Share of the newest answer in a worker's slowness. Speeds that change with each answer even out.
 ANSWER_SHARE = 0.3
 # Share of a request that is late: it tells more, as nearly all answers come sooner.
-LATE_SHARE = 0.7
+LATE_FRACTION = 0.7
 # Share of the newest answer in the usual time of a route, which changes rarely; the first answers
 # share evenly.
 USUAL_TIME_SHARE = 0.05
@@ -112,7 +112,7 @@
         self._zone = zone
         self._rng = rng
         self._num_in_flight = num_in_flight
-        self._seen: dict[WorkerLife, _Seen] = {}
+        self._seen: dict[WorkerIncarnation, _Seen] = {}
         self._usual_times: OrderedDict[tuple[str, str], _UsualTime] = OrderedDict()
 
     @property
@@ -120,11 +120,11 @@
         """Of how many workers something is remembered."""
         return len(self._seen)
 
-    def forget(self, life: WorkerLife) -> None:
+    def remove(self, life: WorkerIncarnation) -> None:
         """A worker is gone."""
         self._seen.pop(life, None)
 
-    def note_answer(self, worker: Worker, route: str, seconds: float) -> None:
+    def record_answer(self, worker: Worker, route: str, seconds: float) -> None:
         """A worker took this long for one unit of a route's work, in seconds.
 
         Args:
@@ -143,17 +143,17 @@
         seen.slowness.take_in(math.exp(log_s - usual.log_s), ANSWER_SHARE)
         seen.penalty.take_in(1.0, ANSWER_SHARE)
 
-    def note_late(self, worker: Worker, route: str, seconds: float) -> None:
+    def record_late(self, worker: Worker, route: str, seconds: float) -> None:
         """A worker has not answered after this long, in seconds, when nearly all others have."""
         usual = self._usual_times.get((worker.service, route))
         factor = MAX_FACTOR if usual is None else seconds / math.exp(usual.log_s)
-        self._of(worker).slowness.take_in(factor, LATE_SHARE)
+        self._of(worker).slowness.take_in(factor, LATE_FRACTION)
 
-    def note_failure(self, worker: Worker) -> None:
+    def record_failure(self, worker: Worker) -> None:
         """A worker broke an answer off, gave none or could not be reached."""
         self._of(worker).penalty.take_in(FAILURE_PENALTY, 1.0)
 
-    def note_report(self, worker: Worker, report: LoadReport) -> None:
+    def record_report(self, worker: Worker, report: LoadReport) -> None:
         """A worker told its load."""
         seen = self._of(worker)
         num_all = report.num_running + report.num_waiting
@@ -202,7 +202,7 @@
         if usual is None:
             return None
         num_turns = max(1.0, (self._num_at(worker) + 1) / max(1, worker.capacity))
-        seen = self._seen.get(worker.life)
+        seen = self._seen.get(worker.incarnation)
         slowness = 1.0 if seen is None else seen.slowness.value
         return num_turns * math.exp(usual.log_s) * slowness
 
@@ -214,18 +214,18 @@
         """Expected time of an answer as a multiple of an idle worker's usual one."""
         load = self._num_at(worker) / max(1, worker.capacity)
         distance = 1.0 if worker.zone == self._zone else REMOTE_FACTOR
-        seen = self._seen.get(worker.life)
+        seen = self._seen.get(worker.incarnation)
         avoidance = 1.0 if seen is None else seen.slowness.value * seen.penalty.value
         return (1.0 + load) * avoidance * distance
 
     def _num_at(self, worker: Worker) -> float:
         """Requests at a worker, of this node and, as far as known, of others."""
         num_own = self._num_in_flight(worker)
-        seen = self._seen.get(worker.life)
+        seen = self._seen.get(worker.incarnation)
         if seen is None:
             return num_own
         fading = math.exp(-(now_s() - seen.report_at_s) / REPORT_FADE_S)
         return num_own + seen.num_of_others * fading
 
     def _of(self, worker: Worker) -> _Seen:
-        return self._seen.setdefault(worker.life, _Seen())
+        return self._seen.setdefault(worker.incarnation, _Seen())
--- a/src/hollowrack/forwarding/workers.py
+++ b/src/hollowrack/forwarding/workers.py
@@ -8,9 +8,9 @@
 
 from hollowrack.clock import now_s
 from hollowrack.forwarding.back_end import NotRunReason
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
+from hollowrack.forwarding.worker_event_intervals import WorkerEventIntervals
 from hollowrack.forwarding.worker_load import WorkerLoads
-from hollowrack.forwarding.worker_paces import WorkerPaces
 
 BUSY_PAUSE_S = 0.06
 MAX_BUSY_PAUSE_S = 0.24
@@ -60,9 +60,9 @@
         self._zone = zone
         self._rng = rng
         self._workers: dict[str, Worker] = {}
-        self._evidence: dict[WorkerLife, _Evidence] = {}
+        self._evidence: dict[WorkerIncarnation, _Evidence] = {}
         self.loads = WorkerLoads(zone, rng, self.num_in_flight)
-        self._paces = WorkerPaces(self.serving)
+        self._paces = WorkerEventIntervals(self.serving)
         self._listeners: list[Callable[[], None]] = []
         self._end_listeners: list[Callable[[Worker], None]] = []
 
@@ -79,37 +79,37 @@
         """Call a listener with the worker of each request that is over."""
         self._end_listeners.append(listener)
 
-    def put(self, worker: Worker) -> None:
+    def update(self, worker: Worker) -> None:
         """Take in a worker's newest state; that of a life before the known one is ignored."""
         known = self._workers.get(worker.id)
         if known is not None and worker.started_ms < known.started_ms:
-            logging.info("worker %s: ignored, %s is known", worker.life, known.life)
+            logging.info("worker %s: ignored, %s is known", worker.incarnation, known.incarnation)
             return
         self._workers[worker.id] = worker
-        self._evidence.setdefault(worker.life, _Evidence())
-        if known is not None and known.life != worker.life:
-            logging.info("worker %s: started again as %s", known.life, worker.life)
-            self.loads.forget(known.life)
+        self._evidence.setdefault(worker.incarnation, _Evidence())
+        if known is not None and known.incarnation != worker.incarnation:
+            logging.info("worker %s: started again as %s", known.incarnation, worker.incarnation)
+            self.loads.remove(known.incarnation)
             self._drop_evidence_at_rest(known)
-        self._paces.note_workers_changed()
+        self._paces.invalidate_best()
         self._notify()
 
     def remove(self, worker_id: str) -> None:
         """Forget a worker that is gone."""
         worker = self._workers.pop(worker_id, None)
-        self._paces.note_workers_changed()
+        self._paces.invalidate_best()
         if worker is not None:
-            self.loads.forget(worker.life)
+            self.loads.remove(worker.incarnation)
             self._drop_evidence_at_rest(worker)
 
     def get(self, worker_id: str) -> Worker | None:
         """Return a worker by its identity."""
         return self._workers.get(worker_id)
 
-    def knows(self, life: WorkerLife) -> bool:
+    def is_current(self, life: WorkerIncarnation) -> bool:
         """Whether a life of a worker is the one that is there."""
         worker = self._workers.get(life.worker_id)
-        return worker is not None and worker.life == life
+        return worker is not None and worker.incarnation == life
 
     def all(self) -> list[Worker]:
         """Return all workers, leaving ones included."""
@@ -126,7 +126,7 @@
     def choose(
         self,
         service: str,
-        excluded: Collection[WorkerLife] = (),
+        excluded: Collection[WorkerIncarnation] = (),
     ) -> Worker | None:
         """Choose a worker of a service that should answer a request soon.
 
@@ -134,11 +134,15 @@
             service: The service.
             excluded: Lives of workers not to be chosen.
         """
-        candidates = [worker for worker in self.serving(service) if worker.life not in excluded]
+        candidates = [
+            worker for worker in self.serving(service) if worker.incarnation not in excluded
+        ]
         ready = [worker for worker in candidates if not self._is_paused(worker)]
         return self.loads.choose(ready or candidates)
 
-    def choose_sooner(self, late: Worker, excluded: Collection[WorkerLife]) -> Worker | None:
+    def choose_for_hedge(
+        self, late: Worker, excluded: Collection[WorkerIncarnation]
+    ) -> Worker | None:
         """Choose a worker for a request that is late at another one of the service.
 
         It has a free slot, has not failed or refused a moment ago, and is expected to answer
@@ -147,7 +151,7 @@
         candidates = [
             worker
             for worker in self.serving(late.service)
-            if worker.life not in excluded
+            if worker.incarnation not in excluded
             and not self._is_paused(worker)
             and self.loads.has_room(worker)
             and self.loads.is_sooner(worker, late)
@@ -172,10 +176,10 @@
             soonest_s = time_s if soonest_s is None else min(soonest_s, time_s)
         return soonest_s
 
-    def choose_place(
+    def choose_for_run(
         self,
         service: str,
-        excluded: Collection[WorkerLife],
+        excluded: Collection[WorkerIncarnation],
         is_eligible: Eligible,
         limit: Callable[[Worker], int] | None = None,
     ) -> Worker | None:
@@ -194,12 +198,12 @@
         candidates = [
             worker
             for worker in self.serving(service)
-            if worker.life not in excluded and is_eligible(worker)
+            if worker.incarnation not in excluded and is_eligible(worker)
         ]
         with_room = [worker for worker in self._usable(candidates) if self._has_room(worker, limit)]
         return min(with_room, key=self._placing_cost, default=None)
 
-    def placeable(self, service: str) -> list[Worker]:
+    def available_for_runs(self, service: str) -> list[Worker]:
         """Return a service's workers at which runs are placed now, full ones included."""
         return self._usable(self.serving(service))
 
@@ -216,29 +220,29 @@
             for worker in self.serving(service)
         )
 
-    def begin(self, worker: Worker) -> None:
+    def reserve_slot(self, worker: Worker) -> None:
         """A request goes to a worker."""
-        self._evidence.setdefault(worker.life, _Evidence()).num_in_flight += 1
+        self._evidence.setdefault(worker.incarnation, _Evidence()).num_in_flight += 1
 
-    def end(self, worker: Worker) -> None:
+    def release_slot(self, worker: Worker) -> None:
         """A request at a worker is over."""
         evidence = self._of(worker)
         evidence.num_in_flight -= 1
-        if not self.knows(worker.life):
+        if not self.is_current(worker.incarnation):
             self._drop_evidence_at_rest(worker)
-            self.loads.forget(worker.life)
+            self.loads.remove(worker.incarnation)
         for listener in self._end_listeners:
             listener(worker)
         self._notify()
 
-    def note_success(self, worker: Worker) -> None:
+    def record_success(self, worker: Worker) -> None:
         """A worker answered well."""
         evidence = self._of(worker)
         evidence.num_failures_in_a_row = 0
         evidence.num_refusals_in_a_row = 0
         evidence.failure_score *= FAILURE_DECAY
 
-    def note_pace(self, worker: Worker, seconds: float, work: str = "") -> None:
+    def record_latency(self, worker: Worker, seconds: float, work: str = "") -> None:
         """A worker took this long for one unit of its work: a request, or an event of a stream.
 
         Args:
@@ -246,10 +250,10 @@
             seconds: How long it took.
             work: What kind of work it was; times of one kind are compared with each other.
         """
-        if not self.knows(worker.life):
+        if not self.is_current(worker.incarnation):
             return  # Nothing that is noted of a life that is over would ever be forgotten.
-        self.loads.note_answer(worker, work, seconds)
-        self._paces.note(worker, seconds)
+        self.loads.record_answer(worker, work, seconds)
+        self._paces.record(worker, seconds)
 
     def is_much_slower(self, worker: Worker) -> bool:
         """Whether a worker has lately been much slower than the best of its service."""
@@ -265,7 +269,7 @@
         """
         return self._paces.time_saved_s(worker, other, num_units)
 
-    def note_busy(self, worker: Worker) -> None:
+    def record_busy(self, worker: Worker) -> None:
         """A worker refused for lack of room."""
         if self._is_paused(worker):
             return  # One of many requests that were refused together.
@@ -274,42 +278,42 @@
         evidence.num_refusals_in_a_row += 1
         self._pause(worker, pause_s)
 
-    def note_failure(self, worker: Worker) -> None:
+    def record_failure(self, worker: Worker) -> None:
         """A worker broke an answer off or gave none."""
-        self.loads.note_failure(worker)
+        self.loads.record_failure(worker)
         evidence = self._of(worker)
         evidence.num_failures_in_a_row += 1
         evidence.failure_score = evidence.failure_score * FAILURE_DECAY + 1.0
         self._pause(worker, FAILURE_PAUSE_S * evidence.num_failures_in_a_row)
 
-    def note_unreachable(self, worker: Worker) -> None:
+    def record_unreachable(self, worker: Worker) -> None:
         """No connection to a worker could be made."""
-        self.loads.note_failure(worker)
+        self.loads.record_failure(worker)
         evidence = self._of(worker)
         evidence.num_failures_in_a_row += 1
         evidence.failure_score = evidence.failure_score * FAILURE_DECAY + 1.0
         pause_s = UNREACHABLE_PAUSE_S * 2 ** min(evidence.num_failures_in_a_row - 1, 5)
         self._pause(worker, min(pause_s, MAX_UNREACHABLE_PAUSE_S))
 
-    def note_not_run(self, worker: Worker, reason: NotRunReason) -> None:
+    def record_not_run(self, worker: Worker, reason: NotRunReason) -> None:
         """A worker certainly did not run a request."""
         if reason is NotRunReason.BUSY:
-            self.note_busy(worker)
+            self.record_busy(worker)
         elif reason is NotRunReason.UNREACHABLE:
-            self.note_unreachable(worker)
+            self.record_unreachable(worker)
         else:
-            self.note_replaced(worker)
+            self.record_replaced(worker)
 
-    def note_replaced(self, worker: Worker) -> None:
+    def record_replaced(self, worker: Worker) -> None:
         """Another incarnation answers at a worker's address: this one is gone."""
-        if self.knows(worker.life):
+        if self.is_current(worker.incarnation):
             self.remove(worker.id)
 
     def num_in_flight(self, worker: Worker) -> int:
         """Return how many requests this node has at a worker."""
         return self._of(worker).num_in_flight
 
-    def num_turns(self, worker: Worker) -> float:
+    def queueing_factor(self, worker: Worker) -> float:
         """How often a worker's slots are filled by what this node has there; 1 while they suffice.
 
         So many times longer than usual a request takes that is the last one sent there.
@@ -318,13 +322,13 @@
 
     def _of(self, worker: Worker) -> _Evidence:
         """What was seen of a worker; of one that is gone and at rest nothing is remembered."""
-        return self._evidence.get(worker.life) or _Evidence()
+        return self._evidence.get(worker.incarnation) or _Evidence()
 
     def _drop_evidence_at_rest(self, worker: Worker) -> None:
         """Forget a life that is over, unless requests are still in flight there."""
         if self._of(worker).num_in_flight <= 0:
-            self._evidence.pop(worker.life, None)
-            self._paces.forget(worker.life)
+            self._evidence.pop(worker.incarnation, None)
+            self._paces.remove(worker.incarnation)
 
     def _pause(self, worker: Worker, pause_s: float) -> None:
         evidence = self._of(worker)
@@ -347,7 +351,7 @@
     def _placing_cost(self, worker: Worker) -> tuple[float, float]:
         evidence = self._of(worker)
         load = (evidence.num_in_flight + 1) / max(1, worker.capacity)
-        cost = self._paces.slowness_for_placing(worker) + PLACING_LOAD_WEIGHT * load
+        cost = self._paces.placement_slowness(worker) + PLACING_LOAD_WEIGHT * load
         cost += FAILURE_WEIGHT * evidence.failure_score
         if worker.zone != self._zone:
             cost += REMOTE_ZONE_PENALTY
--- a/src/hollowrack/jobs/hosting.py
+++ b/src/hollowrack/jobs/host_role.py
@@ -15,27 +15,27 @@
 from hollowrack.clock import now_s
 from hollowrack.coordination.session import Session, node_of_owner
 from hollowrack.jobs.live_state import LiveState
-from hollowrack.jobs.placement import LARGE_SHARE, NodeEntry
+from hollowrack.jobs.placement import LARGE_NODE_FRACTION, NodeEntry
 from hollowrack.tasks import cancel_all
 
 # With two of them gone a zone still has one.
 NUM_HOSTS_PER_ZONE = 3
 # Changes may take this long by way of a host: the age of its mirror at most, the check of it, a
 # question to a store that has to be found to answer, and as much again for a host that hangs.
-MIN_BOUND_WITHOUT_SESSION_S = 3.0
-LOOK_S = 0.1
+MIN_CHANGE_BOUND_WITHOUT_SESSION_S = 3.0
+ROLE_POLL_INTERVAL_S = 0.1
 # Nodes that have just started apply in the order of their size: this divided by their cores, in
 # seconds. Half a core needs 0.8 s to start and waits 0.8 s, by when larger ones are seen.
-START_WAIT_CORE_S = 0.4
-STARTING_AGE_S = 10.0
+START_DELAY_CORE_S = 0.4
+STARTUP_WINDOW_S = 10.0
 # A host whose lease has lapsed is back within the longest pause between grants, about 1.6 s.
-REPLACEMENT_WAIT_S = 2.0
+REPLACEMENT_DELAY_S = 2.0
 # An application is seen by the others after about half a second, and some dozens of nodes may want
 # the same place: they spread over this time if the zone has a host, else over the shorter one.
 MAX_JITTER_S = 10.0
 MAX_URGENT_JITTER_S = 1.5
 # A host that is not needed any more steps back after this time without a duty.
-SURPLUS_S = 5.0
+SURPLUS_DELAY_S = 5.0
 
 
 def num_hosts_per_zone(change_bound_s: float) -> int | None:
@@ -47,10 +47,12 @@
     Args:
         change_bound_s: How long changes may take to reach a node, in seconds.
     """
-    return NUM_HOSTS_PER_ZONE if change_bound_s >= MIN_BOUND_WITHOUT_SESSION_S else None
+    return NUM_HOSTS_PER_ZONE if change_bound_s >= MIN_CHANGE_BOUND_WITHOUT_SESSION_S else None
 
 
-def is_wanted(node: str, own: NodeEntry, hosts: Mapping[str, NodeEntry], num_hosts: int) -> bool:
+def needs_session(
+    node: str, own: NodeEntry, hosts: Mapping[str, NodeEntry], num_hosts: int
+) -> bool:
     """Whether a node without a session should hold one.
 
     Args:
@@ -77,7 +79,7 @@
     before = [
         owner
         for owner, entry in others.items()
-        if entry.num_cores * LARGE_SHARE > own.num_cores
+        if entry.num_cores * LARGE_NODE_FRACTION > own.num_cores
         or (entry.num_cores >= _as_large(own) and node_of_owner(owner) < node)
     ]
     return len(before) >= num_hosts
@@ -95,7 +97,7 @@
 
 
 def _as_large(own: NodeEntry) -> float:
-    return LARGE_SHARE * own.num_cores
+    return LARGE_NODE_FRACTION * own.num_cores
 
 
 class HostRole:
@@ -161,10 +163,10 @@
                 await self._step_back_if_surplus(self._num_hosts)
             else:
                 self._apply_if_wanted(self._num_hosts)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(ROLE_POLL_INTERVAL_S)
 
     def _apply_if_wanted(self, num_hosts: int) -> None:
-        is_wanted_now = is_wanted(self._node, self._own(), self._live.nodes, num_hosts)
+        is_wanted_now = needs_session(self._node, self._own(), self._live.nodes, num_hosts)
         if self._has_duties():
             self._open("it has duties")
         elif self._is_starting and self._was_host():
@@ -181,7 +183,7 @@
         is_surplus_now = not self._has_duties() and is_surplus(
             self._node, self._own(), self._live.nodes, num_hosts
         )
-        if self._is_due(is_surplus_now, SURPLUS_S):
+        if self._is_due(is_surplus_now, SURPLUS_DELAY_S):
             logging.info("session is closed: its zone has enough")
             self._due_since_s = None
             await self._session.stop()
@@ -201,13 +203,13 @@
         has_host = bool(_others_in_zone(self._node, own, self._live.nodes))
         jitter_s = self._place * (MAX_JITTER_S if has_host else MAX_URGENT_JITTER_S)
         if not self._is_starting:
-            return REPLACEMENT_WAIT_S + jitter_s
-        size_wait_s = START_WAIT_CORE_S / max(own.num_cores, START_WAIT_CORE_S)
+            return REPLACEMENT_DELAY_S + jitter_s
+        size_wait_s = START_DELAY_CORE_S / max(own.num_cores, START_DELAY_CORE_S)
         return size_wait_s * (1.0 + jitter_s)
 
     @property
     def _is_starting(self) -> bool:
-        return now_s() - self._started_s < STARTING_AGE_S
+        return now_s() - self._started_s < STARTUP_WINDOW_S
 
     def _was_host(self) -> bool:
         """Whether an earlier process of this node led last, has an entry or owns a job."""
--- a/src/hollowrack/jobs/item_moves.py
+++ b/src/hollowrack/jobs/item_moves.py
@@ -10,7 +10,7 @@
 
 
 class ItemMoves:
-    """Moves of one item; see :class:`hollowrack.forwarding.faster_place.MovePolicy`.
+    """Moves of one item; see :class:`hollowrack.forwarding.migration.MigrationPolicy`.
 
     Args:
         workers: The workers known.
@@ -52,7 +52,7 @@
                 worker, other, num_events
             )
 
-        avoided = frozenset({worker.life})
+        avoided = frozenset({worker.incarnation})
         return await self._queue.acquire(self._service, self._rank_of, is_faster, avoided)
 
     def _saves_enough(self, worker: Worker, other: Worker | None, num_events: int) -> bool:
--- a/src/hollowrack/jobs/item_runner.py
+++ b/src/hollowrack/jobs/item_runner.py
@@ -9,42 +9,42 @@
 from hollowrack.clock import now_s
 from hollowrack.forwarding.back_end import BackEndCall
 from hollowrack.forwarding.dispatch_rank import NEVER_DUE_S, DispatchRank, WorkKind
-from hollowrack.forwarding.dispatch_statistics import WaitPlace
+from hollowrack.forwarding.dispatch_statistics import WaitKind
 from hollowrack.forwarding.forwarder import ForwardRequest, WholeAnswer
 from hollowrack.forwarding.resumable_run import (
     ResumableRun,
-    RunEnd,
     RunEndedError,
+    RunEndReason,
     RunLimits,
     VersionedEvent,
 )
 from hollowrack.forwarding.run_waits import RunWaits
-from hollowrack.forwarding.types import Route, Worker, WorkerLife
+from hollowrack.forwarding.types import Route, Worker, WorkerIncarnation
 from hollowrack.forwarding.workers import Eligible, both
 from hollowrack.jobs.item_eligibility import ItemEligibility
 from hollowrack.jobs.item_moves import ItemMoves
-from hollowrack.jobs.item_order import ItemPlace
+from hollowrack.jobs.item_order import ItemRank
 from hollowrack.jobs.item_services import GiveUpReason, ItemServices
-from hollowrack.jobs.job_standing import JobStanding
+from hollowrack.jobs.job_schedule import JobSchedule
 from hollowrack.jobs.types import ItemResult, Job, JobItem, ScorerCall
 from hollowrack.quarantine.fingerprint import fingerprint_of
 from hollowrack.results import ResultCode
 
-SILENCE_TIMEOUT_S = 1.5
-RUN_TIME_S = 30.0
-MIN_SCORER_PATIENCE_S = 0.6
-SCORER_PATIENCE_IN_TARGETS = 2.0
-SCORER_PAUSE_S = 0.1
+EVENT_TIMEOUT_S = 1.5
+RUN_TIMEOUT_S = 30.0
+MIN_SCORER_TIMEOUT_S = 0.6
+SCORER_TIMEOUT_PER_TARGET_LATENCY = 2.0
+SCORER_RETRY_INTERVAL_S = 0.1
 # An unexpected error may come again at once, and would take the processor and fill the log.
-ERROR_PAUSE_S = 1.0
+ERROR_RETRY_INTERVAL_S = 1.0
 SCORER_METHOD = "POST"
 HTTP_SUCCESS = range(200, 300)
 FIRST_SERVER_ERROR = 500
 
 
 _REASONS = {
-    RunEnd.REJECTED: GiveUpReason.REJECTED,
-    RunEnd.FAILED_TOO_OFTEN: GiveUpReason.FAILED_TOO_OFTEN,
+    RunEndReason.REJECTED: GiveUpReason.REJECTED,
+    RunEndReason.FAILED_TOO_OFTEN: GiveUpReason.FAILED_TOO_OFTEN,
 }
 
 
@@ -73,8 +73,8 @@
         num_restarts: How often generation began again from nothing.
         is_generated: Whether the text is whole.
         route: Route of its job, once that is known.
-        generates_at: Service at which it is to be generated now; ``None`` while it is not.
-        is_waiting: Whether it waits for a slot there.
+        active_service: Service at which it is to be generated now; ``None`` while it is not.
+        is_waiting_for_slot: Whether it waits for a slot there.
     """
 
     def __init__(
@@ -82,8 +82,8 @@
         services: ItemServices,
         job: Job,
         item: JobItem,
-        standing: JobStanding,
-        place_of: Callable[[str], ItemPlace],
+        standing: JobSchedule,
+        place_of: Callable[[str], ItemRank],
         on_outgrown: Callable[[], None],
         kept: Sequence[VersionedEvent] = (),
     ) -> None:
@@ -91,8 +91,8 @@
         self.num_restarts = 0
         self.is_generated = False
         self.route: Route | None = None
-        self.generates_at: str | None = None
-        self.is_waiting = False
+        self.active_service: str | None = None
+        self.is_waiting_for_slot = False
         self._services = services
         self._job = job
         self._item = item
@@ -116,7 +116,7 @@
         return self._services.lengths.num_tokens_left(self._item.expected_tokens, len(self.events))
 
     @property
-    def is_at_worker(self) -> bool:
+    def holds_slot(self) -> bool:
         """Whether it has a place at a worker now."""
         return self._waits is not None and self._waits.is_at_worker
 
@@ -124,14 +124,14 @@
         """Run the item; the result says whether it is whole or given up."""
         started_s = now_s()
         result = await self._run_in_time()
-        self._services.queue.statistics.note_wait(WaitPlace.WHOLE_ITEM, now_s() - started_s)
+        self._services.queue.statistics.record_wait(WaitKind.WHOLE_ITEM, now_s() - started_s)
         return result
 
     async def _run_in_time(self) -> ItemResult:
         job_route = self.route = await self._route_of(self._job.target)
         if job_route is not None:
             self._priority = job_route.priority
-            self._due_s = self._standing.due_s(job_route)
+            self._due_s = self._standing.deadline_s(job_route)
         limit = asyncio.timeout_at(_give_up_time_s(job_route))
         try:
             async with limit:
@@ -168,7 +168,7 @@
                 raise
             except Exception:
                 logging.exception("item %s of job %s: goes on", self._item.id, self._job.id)
-                await asyncio.sleep(ERROR_PAUSE_S)
+                await asyncio.sleep(ERROR_RETRY_INTERVAL_S)
 
     async def _route_of(self, target: str) -> Route | None:
         """The route of a path, as of the configuration under which the job was accepted or later.
@@ -194,10 +194,10 @@
             try:
                 await self._generate(route)
             except RunEndedError as error:
-                if error.end is RunEnd.QUARANTINED:
+                if error.reason is RunEndReason.QUARANTINED:
                     await self._wait_in_quarantine()
                     continue
-                raise ItemGivenUpError(_REASONS[error.end]) from error
+                raise ItemGivenUpError(_REASONS[error.reason]) from error
             versions = self._versions()
             if not route.needs_single_version or len(versions) <= 1:
                 return
@@ -220,7 +220,7 @@
         # Groups that run together go by when each item has to begin: a long one of a later job
         # before a short one of an earlier job that has time.
         latest_start_s = self._due_s
-        if not place.group_place:
+        if not place.group_rank:
             latest_start_s -= self._expected_time_s()
         return DispatchRank(
             self._priority,
@@ -228,13 +228,13 @@
             place.usefulness(self._due_s - now_s()),
             latest_start_s,
             self._standing.sequence,
-            place.group_place,
+            place.group_rank,
             -self.num_tokens_left,
         )
 
     def _expected_time_s(self) -> float:
         """How long it should take at a worker, in seconds; 0 while that is not known."""
-        tokens_per_s = self._services.pace.tokens_per_s
+        tokens_per_s = self._services.slot_throughput.tokens_per_s
         return self.num_tokens_left / tokens_per_s if tokens_per_s > 0.0 else 0.0
 
     def _call(self) -> BackEndCall:
@@ -261,17 +261,21 @@
         call = replace(self._call(), priority=priority)
         fingerprint = fingerprint_of(call)
 
-        async def acquire(avoided: frozenset[WorkerLife], may_begin: Eligible | None) -> Worker:
+        async def acquire(
+            avoided: frozenset[WorkerIncarnation], may_begin: Eligible | None
+        ) -> Worker:
             condition: Eligible = self._eligibility(fingerprint)
             if may_begin is not None:
                 condition = both(condition, may_begin)
-            self.is_waiting = True
+            self.is_waiting_for_slot = True
             try:
                 return await services.queue.acquire(service, self._rank, condition, avoided)
             finally:
-                self.is_waiting = False
+                self.is_waiting_for_slot = False
 
-        limits = RunLimits(route.max_attempts, services.patience, SILENCE_TIMEOUT_S, RUN_TIME_S)
+        limits = RunLimits(
+            route.max_attempts, services.first_event_timeout, EVENT_TIMEOUT_S, RUN_TIMEOUT_S
+        )
         run = ResumableRun(
             call,
             services.back_ends,
@@ -282,17 +286,17 @@
             limits,
             services.quarantine,
             self.events[-1].event.number if self.events else None,
-            moves=self._moves(service, route),
+            migration_policy=self._moves(service, route),
             waits=self._waits,
         )
         started_s = now_s()
         num_kept = len(self.events)
-        self.generates_at = service
+        self.active_service = service
         try:
             await self._take_events(run)
         finally:
-            self.generates_at = None
-        self._note_generated(num_kept, now_s() - started_s - run.waited_for_places_s)
+            self.active_service = None
+        self._note_generated(num_kept, now_s() - started_s - run.queue_wait_s)
         logging.info(
             "item %s of job %s: %d events (%d kept, %d tokens expected) by %d attempts in %.2f s, "
             "%.2f s of it waiting: %s",
@@ -303,27 +307,27 @@
             self._item.expected_tokens,
             run.num_attempts,
             now_s() - started_s,
-            run.waited_for_places_s,
+            run.queue_wait_s,
             run.waits.describe(),
         )
 
     def _note_generated(self, num_kept: int, seconds: float) -> None:
         """Learn from a text that is whole; all but the kept events took so many seconds."""
         services, expected_tokens = self._services, self._item.expected_tokens
-        services.lengths.note(expected_tokens, len(self.events))
+        services.lengths.record_item(expected_tokens, len(self.events))
         share = 1.0 - num_kept / max(1, len(self.events))
         if expected_tokens:
-            services.pace.note(share * expected_tokens, seconds)
+            services.slot_throughput.record_item(share * expected_tokens, seconds)
 
     async def _take_events(self, run: ResumableRun) -> None:
         """Take in all events of a run."""
         lengths = self._services.lengths
         expected_tokens = self._item.expected_tokens
-        next_estimate_at = lengths.next_estimate_at(expected_tokens, len(self.events))
+        next_estimate_at = lengths.overrun_threshold(expected_tokens, len(self.events))
         async for event in run.events():
             self.events.append(event)
             if len(self.events) > next_estimate_at:
-                next_estimate_at = lengths.next_estimate_at(expected_tokens, len(self.events))
+                next_estimate_at = lengths.overrun_threshold(expected_tokens, len(self.events))
                 self._on_outgrown()
 
     def _moves(self, service: str, route: Route) -> ItemMoves | None:
@@ -346,12 +350,12 @@
         One that comes under suspicion while it waits is checked again before it begins.
         """
         quarantine = self._services.quarantine
-        is_suspect = quarantine.register.num_ended(fingerprint) > 0
+        is_suspect = quarantine.registry.num_crashes(fingerprint) > 0
         return ItemEligibility(
             self._job.model,
             self._job.min_version,
             fingerprint if is_suspect else None,
-            quarantine.places,
+            quarantine.suspect_placement,
         )
 
     def _accepts(self, version: int | None) -> bool:
@@ -365,7 +369,7 @@
         while True:
             # No configuration ends an item by lacking the route of its scorer: its time does.
             route = await self._services.routes.lookup_until_found(scorer.host, scorer.target)
-            async with self._services.forwarder.call_places.place(route):
+            async with self._services.forwarder.call_limiter.slot(route):
                 request = _scorer_request(scorer, route)
                 answer = await self._services.forwarder.forward(request)
             if isinstance(answer, WholeAnswer):
@@ -376,7 +380,7 @@
                     raise ItemGivenUpError(GiveUpReason.SCORER_FAILED_TOO_OFTEN)
             elif answer.code is ResultCode.REQUEST_QUARANTINED:
                 await self._services.quarantine.wait_until_lifted(fingerprint_of(request.call))
-            await asyncio.sleep(SCORER_PAUSE_S)
+            await asyncio.sleep(SCORER_RETRY_INTERVAL_S)
 
 
 def _give_up_time_s(job_route: Route | None) -> float | None:
@@ -394,6 +398,8 @@
         (("Host", scorer.host),),
         scorer.body,
     )
-    patience_s = max(MIN_SCORER_PATIENCE_S, SCORER_PATIENCE_IN_TARGETS * route.target_latency_s)
+    patience_s = max(
+        MIN_SCORER_TIMEOUT_S, SCORER_TIMEOUT_PER_TARGET_LATENCY * route.target_latency_s
+    )
     # One worker a call, so that the answers that say it failed can be counted.
     return ForwardRequest(call, replace(route, max_attempts=1), now_s() + patience_s)
--- a/src/hollowrack/jobs/item_services.py
+++ b/src/hollowrack/jobs/item_services.py
@@ -8,16 +8,16 @@
 from hollowrack.forwarding.back_end import BackEndClient
 from hollowrack.forwarding.dispatch_queue import DispatchQueue
 from hollowrack.forwarding.event_stream import StreamEvent
+from hollowrack.forwarding.first_event_timeout import FirstEventTimeout
 from hollowrack.forwarding.forwarder import Forwarder
-from hollowrack.forwarding.patience import FirstEventPatience
 from hollowrack.forwarding.route_table import RouteTable
 from hollowrack.forwarding.workers import WorkerDirectory
 from hollowrack.jobs.lengths import LengthEstimate
-from hollowrack.jobs.pace import PaceEstimate
+from hollowrack.jobs.slot_throughput import SlotThroughputEstimate
 from hollowrack.quarantine.quarantine import Quarantine
 
-MIN_FIRST_EVENT_S = 0.8
-MAX_FIRST_EVENT_S = 2.5
+MIN_FIRST_EVENT_TIMEOUT_S = 0.8
+MAX_FIRST_EVENT_TIMEOUT_S = 2.5
 
 
 class GiveUpReason(Enum):
@@ -42,9 +42,9 @@
         queue: Hands out places at workers.
         read_version: Reads the weight version that an event announces.
         quarantine: Keeps generations that end their workers from further workers.
-        patience: Longest wait for the first event of a generation.
+        first_event_timeout: Longest wait for the first event of a generation.
         lengths: How many events items will have.
-        pace: How fast a place generates.
+        slot_throughput: How fast a place generates.
         num_given_up: How many items were given up here, by reason.
     """
 
@@ -55,9 +55,11 @@
     queue: DispatchQueue
     read_version: Callable[[StreamEvent], int | None]
     quarantine: Quarantine
-    patience: FirstEventPatience = field(
-        default_factory=lambda: FirstEventPatience(MIN_FIRST_EVENT_S, MAX_FIRST_EVENT_S)
+    first_event_timeout: FirstEventTimeout = field(
+        default_factory=lambda: FirstEventTimeout(
+            MIN_FIRST_EVENT_TIMEOUT_S, MAX_FIRST_EVENT_TIMEOUT_S
+        )
     )
     lengths: LengthEstimate = field(default_factory=LengthEstimate)
-    pace: PaceEstimate = field(default_factory=PaceEstimate)
+    slot_throughput: SlotThroughputEstimate = field(default_factory=SlotThroughputEstimate)
     num_given_up: Counter[GiveUpReason] = field(default_factory=Counter)
--- a/src/hollowrack/jobs/job_intake.py
+++ b/src/hollowrack/jobs/job_intake.py
@@ -9,18 +9,18 @@
 from hollowrack.clock import now_s
 from hollowrack.jobs.job_log import MAX_JOB_ID_LENGTH, CreateOutcome, JobLog, StoredJob
 from hollowrack.jobs.live_state import LiveState
-from hollowrack.jobs.peers import PeerJobs
+from hollowrack.jobs.peer_jobs import PeerJobs
 from hollowrack.jobs.types import ItemResult, Job
 from hollowrack.results import Problem, ResultCode
 from hollowrack.tasks import cancel_all
 
-CREATE_PAUSE_S = 0.25
+CREATE_RETRY_INTERVAL_S = 0.25
 # Refused writes are tried for this long; then the caller is told when to come back.
-CREATE_PATIENCE_S = 0.6
+CREATE_TIMEOUT_S = 0.6
 CREATE_RETRY_AFTER_S = 2.5
 STOPPING_RETRY_AFTER_S = 0.5
 # A write without an answer may have been done: only its outcome can answer the caller.
-RESOLVE_PATIENCE_S = 8.0
+RESOLVE_TIMEOUT_S = 8.0
 MAX_PEERS_ASKED = 3
 # The node that should own a job answers soon, or another one owns it.
 HANDOFF_TIMEOUT_S = 1.0
@@ -37,7 +37,7 @@
     def owns(self, job_id: str) -> bool:
         """Whether a job runs here."""
 
-    def own(self, job: Job, results: list[ItemResult]) -> None:
+    def run_job(self, job: Job, results: list[ItemResult]) -> None:
         """Run a job here, with its results listed so far."""
 
 
@@ -53,7 +53,8 @@
         is_host: Whether this node has a session, so that jobs may well stay here.
 
     Attributes:
-        hands_on: Whether jobs go to the node that should own them; otherwise to the one asked.
+        uses_preferred_owner: Whether jobs go to the node that should own them; otherwise to the one
+            asked.
         is_stopping: Whether this node accepts nothing more.
     """
 
@@ -67,7 +68,7 @@
         is_host: Callable[[], bool],
     ) -> None:
         self._is_host = is_host
-        self.hands_on = True
+        self.uses_preferred_owner = True
         self.is_stopping = False
         self._log = log
         self._peers = peers
@@ -101,7 +102,7 @@
 
     def _first_asked(self, job: Job) -> list[str]:
         """The nodes that are asked to own a job before this one."""
-        if not self.hands_on or self._owner.owns(job.id):
+        if not self.uses_preferred_owner or self._owner.owns(job.id):
             return []
         preferred = self._live.preferred_owner_address(job)
         if preferred is None:
@@ -143,7 +144,7 @@
         while True:
             outcome = await self._log.create(job)
             if outcome is CreateOutcome.CREATED:
-                self._owner.own(job, [])
+                self._owner.run_job(job, [])
                 return outcome
             if outcome is CreateOutcome.EXISTS:
                 await self._own_if_mine(job)
@@ -151,10 +152,10 @@
             if outcome is CreateOutcome.TOO_LARGE:
                 return outcome
             may_be_stored = may_be_stored or outcome is CreateOutcome.UNKNOWN
-            patience_s = RESOLVE_PATIENCE_S if may_be_stored else CREATE_PATIENCE_S
+            patience_s = RESOLVE_TIMEOUT_S if may_be_stored else CREATE_TIMEOUT_S
             if now_s() - started_s > patience_s:
                 return CreateOutcome.UNKNOWN if may_be_stored else CreateOutcome.NOT_DONE
-            await asyncio.sleep(CREATE_PAUSE_S)
+            await asyncio.sleep(CREATE_RETRY_INTERVAL_S)
 
     async def _own_if_mine(self, job: Job) -> None:
         """Own a job stored by an earlier attempt of this node whose answer was lost."""
@@ -162,7 +163,7 @@
         if owner == self._log.owner and not self._owner.owns(job.id):
             stored = await self._log.load(job.id)
             known = stored if isinstance(stored, StoredJob) else StoredJob(job)
-            self._owner.own(known.job, known.results)
+            self._owner.run_job(known.job, known.results)
 
 
 def _problem_of(outcome: CreateOutcome, job_id: str) -> Problem | None:
--- a/src/hollowrack/jobs/job_log.py
+++ b/src/hollowrack/jobs/job_log.py
@@ -14,7 +14,7 @@
 
 from absl import logging
 
-from hollowrack.coordination.session import owner_in
+from hollowrack.coordination.session import decode_owner
 from hollowrack.coordination.store import (
     Committed,
     Condition,
@@ -58,7 +58,7 @@
     """What became of an attempt to list results."""
 
     APPENDED = "appended"
-    OVERTAKEN = "another writer listed results at this position"
+    CONFLICT = "another writer listed results at this position"
     FAILED = "failed"
 
 
@@ -142,9 +142,9 @@
         data = b"".join(item.value for item in sorted(parts, key=lambda item: item.key))
         batches = [item for item in listing.items if item.key.startswith(f"{prefix}log/")]
         try:
-            return StoredJob(_decode(data, Job), chain(batches), listing.revision)
+            return StoredJob(_decode(data, Job), join_batches(batches), listing.revision)
         except ProblemError as error:
-            return unreadable(job_id, error)
+            return unreadable_record(job_id, error)
 
     async def read_results(self, job_id: str) -> list[ItemResult] | Unavailable:
         """Read all results of a job in order."""
@@ -152,9 +152,9 @@
         if not isinstance(listing, Listing):
             return listing
         try:
-            return chain(listing.items)
+            return join_batches(listing.items)
         except ProblemError as error:
-            return unreadable(job_id, error)
+            return unreadable_record(job_id, error)
 
     async def append(
         self,
@@ -162,7 +162,7 @@
         position: int,
         results: Sequence[ItemResult],
         is_last: bool,
-        also: Sequence[Put] = (),
+        extra_puts: Sequence[Put] = (),
     ) -> AppendOutcome:
         """List results from a position on; the last ones close the job.
 
@@ -171,16 +171,18 @@
             position: Position of the first of them.
             results: The results.
             is_last: Whether they are the job's last.
-            also: What is written with them, if they are.
+            extra_puts: What is written with them, if they are.
         """
         key = f"{log_prefix(job_id)}{position:08d}"
         value = codec.encode(ResultBatch(tuple(results)))
         removes = [_open_key(job_id)] if is_last else []
-        outcome = await self._store.transact([Condition(key)], [Put(key, value), *also], removes)
+        outcome = await self._store.transact(
+            [Condition(key)], [Put(key, value), *extra_puts], removes
+        )
         if isinstance(outcome, Committed):
             return AppendOutcome.APPENDED
         if isinstance(outcome, Conflict):
-            return AppendOutcome.OVERTAKEN
+            return AppendOutcome.CONFLICT
         return AppendOutcome.FAILED
 
     async def end(self, job_id: str) -> bool:
@@ -216,7 +218,7 @@
         """Read who owns an unfinished job; ``None`` if it is finished, ended or unknown."""
         item = await self._store.get(_open_key(job_id))
         if isinstance(item, StoredItem):
-            return owner_in(item.value)
+            return decode_owner(item.value)
         return item
 
     async def claim(self, job: OpenJob) -> bool:
@@ -232,7 +234,7 @@
         return isinstance(outcome, Committed)
 
 
-def chain(batches: Sequence[StoredItem]) -> list[ItemResult]:
+def join_batches(batches: Sequence[StoredItem]) -> list[ItemResult]:
     """Join stored batches in order, up to the first gap.
 
     Raises:
@@ -254,7 +256,7 @@
     return int(position) if position.isascii() and position.isdigit() else None
 
 
-def unreadable(job_id: str, error: ProblemError) -> Unknown:
+def unreadable_record(job_id: str, error: ProblemError) -> Unknown:
     """Return what is known of a job when a record of it cannot be read: nothing."""
     logging.error("job %s: a record of it cannot be read: %s", job_id, error.problem)
     return Unknown("a record of the job cannot be read")
--- a/src/hollowrack/jobs/job_order.py
+++ b/src/hollowrack/jobs/job_order.py
@@ -4,15 +4,15 @@
 
 from hollowrack.clock import now_s
 from hollowrack.forwarding.types import Worker
-from hollowrack.jobs.item_order import ItemPlace, Outlook, order_items
+from hollowrack.jobs.item_order import CapacityForecast, ItemRank, order_items
 from hollowrack.jobs.item_runner import ItemRunner
 from hollowrack.jobs.item_services import ItemServices
-from hollowrack.jobs.job_standing import JobStanding
+from hollowrack.jobs.job_schedule import JobSchedule
 from hollowrack.jobs.types import Job
 
 # How long an order is used again, in seconds: lengths left in it grow stale, and a group looks
 # later than it is. Ranks of waiters are asked again only after a change of the order.
-MAX_ORDER_AGE_S = 0.25
+ORDER_TTL_S = 0.25
 
 
 class JobOrder:
@@ -29,29 +29,29 @@
         self,
         job: Job,
         services: ItemServices,
-        standing: JobStanding,
+        standing: JobSchedule,
         open_runners: Callable[[], Mapping[str, ItemRunner]],
     ) -> None:
         self._job = job
         self._services = services
         self._standing = standing
         self._open_runners = open_runners
-        self._places: Mapping[str, ItemPlace] = {}
+        self._places: Mapping[str, ItemRank] = {}
         self._decided_s = -float("inf")
 
-    def decide_anew(self) -> None:
+    def invalidate(self) -> None:
         """Decide the order anew before places are handed out again."""
         self._decided_s = -float("inf")
-        self._services.queue.note_reordered()
+        self._services.queue.invalidate_ranks()
 
-    def place_of(self, item_id: str) -> ItemPlace:
+    def rank_of(self, item_id: str) -> ItemRank:
         """The place of an item in the order of the job."""
-        if now_s() - self._decided_s > MAX_ORDER_AGE_S:
+        if now_s() - self._decided_s > ORDER_TTL_S:
             self._decided_s = now_s()
             self._places = self._decide()
-        return self._places.get(item_id, ItemPlace())
+        return self._places.get(item_id, ItemRank())
 
-    def _decide(self) -> Mapping[str, ItemPlace]:
+    def _decide(self) -> Mapping[str, ItemRank]:
         """Decide in which order the items that wait should run.
 
         Without other trainers at its workers a job has them all, and goes the longest item first.
@@ -69,22 +69,26 @@
             routes.holds_several_models(target.service) for target in route.targets
         )
 
-    def _outlook(self, runners: Iterable[ItemRunner]) -> Outlook:
+    def _outlook(self, runners: Iterable[ItemRunner]) -> CapacityForecast:
         """What the places that the job has or may have now generate until it is due."""
         runners = list(runners)
         route = self._services.routes.lookup(self._job.host, self._job.target)
-        time_left_s = self._standing.due_s(route) - now_s()
-        num_taken = sum(runner.is_at_worker for runner in runners)
+        time_left_s = self._standing.deadline_s(route) - now_s()
+        num_taken = sum(runner.holds_slot for runner in runners)
         # The item that has just ended leaves its place to the next one.
         num_places = max(1, num_taken + self._num_free_places(runners))
-        return Outlook(time_left_s, num_places, self._services.pace.tokens_per_s)
+        return CapacityForecast(
+            time_left_s, num_places, self._services.slot_throughput.tokens_per_s
+        )
 
     def _num_free_places(self, runners: Iterable[ItemRunner]) -> int:
         """How many further places the job may have now: a job that begins has none yet."""
-        services = {runner.generates_at for runner in runners if runner.generates_at is not None}
+        services = {
+            runner.active_service for runner in runners if runner.active_service is not None
+        }
 
         def has_weights(worker: Worker) -> bool:
             return worker.holds(self._job.model, self._job.min_version)
 
         queue = self._services.queue
-        return sum(queue.num_free_places(service, has_weights) for service in services)
+        return sum(queue.num_free_slots(service, has_weights) for service in services)
--- a/src/hollowrack/jobs/job_reader.py
+++ b/src/hollowrack/jobs/job_reader.py
@@ -17,7 +17,7 @@
     decode_batch,
     log_prefix,
     position_of,
-    unreadable,
+    unreadable_record,
 )
 from hollowrack.jobs.types import ItemResult, Job
 from hollowrack.results import ProblemError
@@ -51,22 +51,22 @@
         self._log = log
         self._cache: OrderedDict[str, _CachedJob] = OrderedDict()
 
-    def remember(self, job: Job, results: list[ItemResult], revision: int = 0) -> None:
+    def cache_job(self, job: Job, results: list[ItemResult], revision: int = 0) -> None:
         """Keep a job that this node has owned."""
         self._put(job.id, _CachedJob(job, list(results), revision))
 
-    def knows(self, job_id: str) -> bool:
+    def is_cached(self, job_id: str) -> bool:
         """Whether the job itself is in the cache."""
         return job_id in self._cache
 
-    def whole(self, job_id: str) -> tuple[Job, list[ItemResult]] | None:
+    def complete_job(self, job_id: str) -> tuple[Job, list[ItemResult]] | None:
         """Return a cached job whose results are all listed, so that nothing of it can change."""
         cached = self._cache.get(job_id)
         if cached is None or not cached.is_listed_whole:
             return None
         return cached.job, cached.results
 
-    def note_ended(self, job_id: str) -> None:
+    def record_job_end(self, job_id: str) -> None:
         """A job was ended: nothing more needs to be waited for."""
         cached = self._cache.get(job_id)
         if cached is not None:
@@ -135,7 +135,7 @@
                 try:
                     cached.results.extend(decode_batch(change.value))
                 except ProblemError as error:
-                    return unreadable(cached.job.id, error)
+                    return unreadable_record(cached.job.id, error)
         cached.revision = max(cached.revision, changes.revision)
         return None
 
--- a/src/hollowrack/jobs/job_runner.py
+++ b/src/hollowrack/jobs/job_runner.py
@@ -8,19 +8,19 @@
 
 from hollowrack.clock import now_s
 from hollowrack.coordination.store import NotDone, Unknown
-from hollowrack.forwarding.dispatch_statistics import WaitPlace
+from hollowrack.forwarding.dispatch_statistics import WaitKind
 from hollowrack.jobs.item_runner import ItemRunner
 from hollowrack.jobs.item_services import ItemServices
 from hollowrack.jobs.job_log import AppendOutcome, JobLog
 from hollowrack.jobs.job_order import JobOrder
-from hollowrack.jobs.job_standing import JobStanding
+from hollowrack.jobs.job_schedule import JobSchedule
 from hollowrack.jobs.open_work import open_work_of
 from hollowrack.jobs.progress import (
     ItemProgress,
     JobRemainder,
-    KeptEvents,
     ProgressLog,
-    kept_event,
+    SavedEvents,
+    to_saved_event,
 )
 from hollowrack.jobs.progress_saver import ProgressSaver
 from hollowrack.jobs.types import ItemResult, Job
@@ -29,15 +29,15 @@
 
 # Results that finish close together are listed by one write. A trainer uses whole groups, so those
 # that complete none may wait longer.
-GATHER_S = 0.2
-PARTIAL_GATHER_S = 0.8
+BATCH_DELAY_S = 0.2
+PARTIAL_GROUP_BATCH_DELAY_S = 0.8
 # What items generate is saved with the results that are listed, but not more often than this.
-MIN_SAVE_AGE_S = 0.5
-RETRY_PAUSE_S = 0.25
+MIN_SAVE_INTERVAL_S = 0.5
+RETRY_INTERVAL_S = 0.25
 MAX_BATCH_BYTES = 500_000
 # Writes of an earlier owner may be done as late as this after the job was taken over.
-LATE_WRITES_S = 8.0
-LATE_WRITES_LOOK_S = 0.6
+LATE_WRITE_WINDOW_S = 8.0
+LATE_WRITE_POLL_INTERVAL_S = 0.6
 
 
 class JobRunner:
@@ -66,15 +66,15 @@
         sequence: int,
         on_done: Callable[["JobRunner"], None],
         is_taken_over: bool = False,
-        kept: KeptEvents | None = None,
+        kept: SavedEvents | None = None,
         unlisted: Sequence[ItemResult] = (),
     ) -> None:
         self.job = job
         self.results = results
-        self.changed = asyncio.Event()
+        self.results_changed = asyncio.Event()
         self._log = log
         self._services = services
-        self._standing = JobStanding(sequence, now_s())
+        self._standing = JobSchedule(sequence, now_s())
         self._on_done = on_done
         listed = {result.item_id for result in results}
         self._finished = [result for result in unlisted if result.item_id not in listed]
@@ -96,7 +96,7 @@
         self.task = asyncio.create_task(self._run())
 
     @property
-    def is_listed_whole(self) -> bool:
+    def is_fully_listed(self) -> bool:
         """Whether every item has a listed result."""
         return len(self.results) >= len(self.job.items)
 
@@ -108,7 +108,7 @@
     async def _run(self) -> None:
         try:
             self._start_items()
-            while not self.is_listed_whole:
+            while not self.is_fully_listed:
                 await self._has_finished.wait()
                 await self._gather()
                 async with self._listing:
@@ -128,7 +128,7 @@
 
     async def _gather(self) -> None:
         """Wait for more results; not at all once the trainer has what it waits for."""
-        end_s = now_s() + PARTIAL_GATHER_S
+        end_s = now_s() + PARTIAL_GROUP_BATCH_DELAY_S
         while not self._has_whole_unlisted_group():
             if now_s() >= end_s or not self._finished:
                 return
@@ -138,7 +138,7 @@
                     await self._finished_another.wait()
         done = {result.item_id for result in [*self.results, *self._finished]}
         if not has_desired_groups(self.job, done):
-            await asyncio.sleep(GATHER_S)
+            await asyncio.sleep(BATCH_DELAY_S)
 
     def _has_whole_unlisted_group(self) -> bool:
         """Whether results that are not listed yet complete a group."""
@@ -152,9 +152,9 @@
 
         Other nodes read such results from the store; this one must not know fewer.
         """
-        end_s = now_s() + LATE_WRITES_S
+        end_s = now_s() + LATE_WRITE_WINDOW_S
         while now_s() < end_s:
-            await asyncio.sleep(LATE_WRITES_LOOK_S)
+            await asyncio.sleep(LATE_WRITE_POLL_INTERVAL_S)
             listed = await self._log.read_results(self.job.id)
             if isinstance(listed, list) and len(listed) > len(self.results):
                 async with self._listing:
@@ -169,23 +169,27 @@
     def has_waiting(self, service: str) -> bool:
         """Whether any item waits for a slot at a service."""
         runners = self._item_runners.values()
-        return any(runner.is_waiting and runner.generates_at == service for runner in runners)
+        return any(
+            runner.is_waiting_for_slot and runner.active_service == service for runner in runners
+        )
 
-    def open_work(self, service: str, lives: Mapping[str, int]) -> OpenWork | None:
+    def open_work(self, service: str, incarnation_positions: Mapping[str, int]) -> OpenWork | None:
         """Return what is left to generate at a service; ``None`` if nothing is.
 
         Args:
             service: The service.
-            lives: Position of each life of a worker by its text.
+            incarnation_positions: Position of each life of a worker by its text.
         """
         runners = list(self._item_runners.values())
         workers = self._services.workers
-        return open_work_of(self.job, self._standing, runners, service, lives, workers)
+        return open_work_of(
+            self.job, self._standing, runners, service, incarnation_positions, workers
+        )
 
     def remainder(self) -> JobRemainder:
         """Return what this owner holds that may not be in the store."""
         items = [
-            ItemProgress(item_id, 0, 0, tuple(kept_event(event) for event in runner.events))
+            ItemProgress(item_id, 0, 0, tuple(to_saved_event(event) for event in runner.events))
             for item_id, runner in self._item_runners.items()
             if runner.events and not runner.is_generated
         ]
@@ -210,8 +214,8 @@
                 self.job,
                 item,
                 self._standing,
-                self._order.place_of,
-                self._order.decide_anew,
+                self._order.rank_of,
+                self._order.invalidate,
                 kept,
             )
             self._item_runners[item.id] = runner
@@ -233,25 +237,25 @@
         self._ended_s[result.item_id] = now_s()
         self._has_finished.set()
         self._finished_another.set()
-        self._order.decide_anew()
+        self._order.invalidate()
 
     async def _list_finished(self) -> bool:
         """List what has finished; returns whether the job still belongs to this node."""
         batch = _first_batch(self._finished)
         position = len(self.results)
         is_last = position + len(batch) == len(self.job.items)
-        unsaved = None if is_last else self._saver.unsaved(MIN_SAVE_AGE_S)
+        unsaved = None if is_last else self._saver.unsaved(MIN_SAVE_INTERVAL_S)
         also = [] if unsaved is None else [unsaved.record]
         outcome = await self._log.append(self.job.id, position, batch, is_last, also)
         if outcome is AppendOutcome.APPENDED:
             if unsaved is not None:
-                self._saver.note_saved(unsaved)
+                self._saver.record_saved(unsaved)
             self._finished = self._finished[len(batch) :]
             self._take_listed([*self.results, *batch])
             return True
-        if outcome is AppendOutcome.OVERTAKEN:
+        if outcome is AppendOutcome.CONFLICT:
             return await self._catch_up()
-        await asyncio.sleep(RETRY_PAUSE_S)
+        await asyncio.sleep(RETRY_INTERVAL_S)
         return True
 
     def _note_listed(self, results: Sequence[ItemResult]) -> None:
@@ -260,14 +264,14 @@
             ended_s = self._ended_s.pop(result.item_id, None)
             if ended_s is not None:
                 statistics = self._services.queue.statistics
-                statistics.note_wait(WaitPlace.LISTING, now_s() - ended_s)
+                statistics.record_wait(WaitKind.LISTING, now_s() - ended_s)
 
     async def _catch_up(self) -> bool:
         """Another writer, or an own write whose answer was lost, came first."""
         listed = await self._log.read_results(self.job.id)
         owner = await self._log.owner_of(self.job.id)
         if isinstance(listed, NotDone | Unknown) or isinstance(owner, NotDone | Unknown):
-            await asyncio.sleep(RETRY_PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
             return True
         known = {result.item_id for result in listed}
         self._finished = [result for result in self._finished if result.item_id not in known]
@@ -287,8 +291,8 @@
         self._notify()
 
     def _notify(self) -> None:
-        self.changed.set()
-        self.changed = asyncio.Event()
+        self.results_changed.set()
+        self.results_changed = asyncio.Event()
 
 
 def has_desired_groups(job: Job, done: Collection[str]) -> bool:
--- a/src/hollowrack/jobs/job_standing.py
+++ b/src/hollowrack/jobs/job_schedule.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True)
-class JobStanding:
+class JobSchedule:
     """What places a job among the others of this node.
 
     Attributes:
@@ -22,7 +22,7 @@
     sequence: int
     owned_s: float
 
-    def due_s(self, route: Route | None) -> float:
+    def deadline_s(self, route: Route | None) -> float:
         """Return until when its texts must be whole for the results to be listed in time.
 
         Args:
--- a/src/hollowrack/jobs/job_service.py
+++ b/src/hollowrack/jobs/job_service.py
@@ -18,20 +18,20 @@
 from hollowrack.jobs.job_reader import JobReader
 from hollowrack.jobs.job_runner import JobRunner
 from hollowrack.jobs.live_state import LiveState
-from hollowrack.jobs.peers import JobPage, PeerJobs, ReadJob
-from hollowrack.jobs.progress import JobRemainder, KeptEvents, ProgressLog
+from hollowrack.jobs.peer_jobs import JobPage, PeerJobs, ReadJobRequest
+from hollowrack.jobs.progress import JobRemainder, ProgressLog, SavedEvents
 from hollowrack.jobs.types import ItemResult, Job, JobItem
 from hollowrack.results import Problem, ResultCode
 from hollowrack.slots.types import OpenWork
 from hollowrack.tasks import cancel_all
 
-END_PAUSE_S = 0.25
-END_PATIENCE_S = 3.0
+END_RETRY_INTERVAL_S = 0.25
+END_TIMEOUT_S = 3.0
 READ_RETRY_AFTER_S = 0.3
 # A job is seen by all nodes within two looks at the feed, each a fifth of a second apart.
-MAX_UNSEEN_S = 0.5
+JOB_VISIBILITY_TIMEOUT_S = 0.5
 # Jobs that were left lately, about which their new owners may ask.
-MAX_LEFT_JOBS = 4
+MAX_REMAINDERS = 4
 
 
 @dataclass(frozen=True)
@@ -108,12 +108,12 @@
         """Accept a job on this node; ``None`` once it is stored for good."""
         return await self.intake.submit_here(job)
 
-    def own(
+    def run_job(
         self,
         job: Job,
         results: list[ItemResult],
         is_taken_over: bool = False,
-        kept: KeptEvents | None = None,
+        kept: SavedEvents | None = None,
         unlisted: Sequence[ItemResult] = (),
     ) -> None:
         """Run a job on this node.
@@ -153,7 +153,7 @@
 
     def _on_done(self, runner: JobRunner) -> None:
         self._runners.pop(runner.job.id, None)
-        self._reader.remember(runner.job, runner.results)
+        self._reader.cache_job(runner.job, runner.results)
         logging.info("job %s: %d listed, done here", runner.job.id, len(runner.results))
 
     # -- reading ----------------------------------------------------------------------------
@@ -163,12 +163,12 @@
         runner = self._runners.get(job_id)
         if runner is not None:
             if len(runner.results) <= after:
-                await _wait_for(runner.changed, wait_s)
+                await _wait_for(runner.results_changed, wait_s)
             return ResultPage(len(runner.job.items), runner.results[after:])
-        if self._reader.whole(job_id) is None:
+        if self._reader.complete_job(job_id) is None:
             # The owner knows more than the store, and a caller that waits loses nothing.
-            await self._live.wait_for_job(job_id, min(wait_s, MAX_UNSEEN_S))
-            page = await self._read_at_owner(ReadJob(job_id, after, wait_s))
+            await self._live.wait_for_job(job_id, min(wait_s, JOB_VISIBILITY_TIMEOUT_S))
+            page = await self._read_at_owner(ReadJobRequest(job_id, after, wait_s))
             if page is not None:
                 return ResultPage(page.num_items, list(page.results))
         found = await self._reader.results(job_id, after, wait_s)
@@ -179,17 +179,17 @@
         job, results = found
         return ResultPage(len(job.items), results[after:])
 
-    async def _read_at_owner(self, request: ReadJob) -> JobPage | None:
+    async def _read_at_owner(self, request: ReadJobRequest) -> JobPage | None:
         address = self._live.owner_address(request.job_id)
         return None if address is None else await self._peers.read(address, request)
 
-    async def answer_peer(self, request: ReadJob) -> JobPage:
+    async def answer_peer(self, request: ReadJobRequest) -> JobPage:
         """Answer another node, if this one owns the job for sure or holds all its results."""
         runner = self._runners.get(request.job_id)
         if runner is None:
             return self._whole_page(request)
         if len(runner.results) <= request.after:
-            await _wait_for(runner.changed, request.wait_s)
+            await _wait_for(runner.results_changed, request.wait_s)
         # A process whose session may be over may have lost the job to another one.
         if not self._session.is_valid:
             return JobPage(is_owner=False)
@@ -197,9 +197,9 @@
         job = runner.job if request.with_job else None
         return JobPage(True, len(runner.job.items), results, job)
 
-    def _whole_page(self, request: ReadJob) -> JobPage:
+    def _whole_page(self, request: ReadJobRequest) -> JobPage:
         """Answer for a job that was owned here, if all its results are listed: none can change."""
-        whole = self._reader.whole(request.job_id)
+        whole = self._reader.complete_job(request.job_id)
         if whole is None:
             return JobPage(is_owner=False)
         job, results = whole
@@ -211,10 +211,10 @@
         runner = self._runners.get(job_id)
         if runner is not None:
             return runner.job
-        if not self._reader.knows(job_id):
-            page = await self._read_at_owner(ReadJob(job_id, 0, 0.0, with_job=True))
+        if not self._reader.is_cached(job_id):
+            page = await self._read_at_owner(ReadJobRequest(job_id, 0, 0.0, with_job=True))
             if page is not None and page.job is not None:
-                self._reader.remember(page.job, list(page.results))
+                self._reader.cache_job(page.job, list(page.results))
                 return page.job
         return await self._reader.job(job_id)
 
@@ -242,21 +242,21 @@
                 return _unsure(job_id, job.reason)
         started_s = now_s()
         while not await self._log.end(job_id):
-            if now_s() - started_s > END_PATIENCE_S:
+            if now_s() - started_s > END_TIMEOUT_S:
                 return _unsure(job_id, "the end could not be stored")
-            await asyncio.sleep(END_PAUSE_S)
-        self.note_ended(job_id)
+            await asyncio.sleep(END_RETRY_INTERVAL_S)
+        self.receive_job_end(job_id)
         return None
 
-    def note_ended(self, job_id: str) -> None:
+    def receive_job_end(self, job_id: str) -> None:
         """A job was ended, here or elsewhere: stop its items."""
         runner = self._runners.get(job_id)
         if runner is not None:
             logging.info("job %s: ended, %d listed", job_id, len(runner.results))
             self._keep(asyncio.create_task(runner.stop()))
-        self._reader.note_ended(job_id)
+        self._reader.record_job_end(job_id)
 
-    def note_replaced(self, job: OpenJob) -> None:
+    def receive_owner_change(self, job: OpenJob) -> None:
         """Another process owns a job now: leave it, it runs there and is read there.
 
         What the view tells of a job's owner is never older than what this process claimed it on.
@@ -269,7 +269,7 @@
     def _leave(self, runner: JobRunner) -> None:
         """Stop running a job, and remember for its new owner what was held of it."""
         self._left[runner.job.id] = runner.remainder()
-        while len(self._left) > MAX_LEFT_JOBS:
+        while len(self._left) > MAX_REMAINDERS:
             self._left.popitem(last=False)
         self._keep(asyncio.create_task(runner.stop()))
 
@@ -284,32 +284,34 @@
         """Whether any item of the jobs owned here waits for a slot at a service."""
         return any(runner.has_waiting(service) for runner in self._runners.values())
 
-    def open_work(self, service: str, lives: Mapping[str, int]) -> list[OpenWork]:
+    def open_work(self, service: str, incarnation_positions: Mapping[str, int]) -> list[OpenWork]:
         """Return what is left to generate of the jobs owned here; see :class:`OpenWorkSource`."""
-        works = (runner.open_work(service, lives) for runner in self._runners.values())
+        works = (
+            runner.open_work(service, incarnation_positions) for runner in self._runners.values()
+        )
         return [work for work in works if work is not None]
 
     # -- stopping ---------------------------------------------------------------------------
 
-    def refuse_new(self) -> None:
+    def stop_accepting(self) -> None:
         """Accept and take over nothing more; owned jobs go on."""
         self.intake.is_stopping = True
 
-    async def drain(self, patience_s: float, hand_over_s: float = 0.0) -> None:
+    async def drain(self, timeout_s: float, handover_timeout_s: float = 0.0) -> None:
         """Accept nothing more, and let owned jobs finish for a while; then hand them over.
 
         Args:
-            patience_s: How long they may go on, in seconds.
-            hand_over_s: How long handing over may take then, in seconds; 0 to leave them as they
-                are.
+            timeout_s: How long they may go on, in seconds.
+            handover_timeout_s: How long handing over may take then, in seconds; 0 to leave them as
+                they are.
         """
-        self.refuse_new()
+        self.stop_accepting()
         if self._runners:
             await asyncio.wait(
-                {runner.task for runner in self._runners.values()}, timeout=max(0.0, patience_s)
+                {runner.task for runner in self._runners.values()}, timeout=max(0.0, timeout_s)
             )
         runners = list(self._runners.values())
-        await asyncio.gather(*(self._hand_over(runner, hand_over_s) for runner in runners))
+        await asyncio.gather(*(self._hand_over(runner, handover_timeout_s) for runner in runners))
         await self.intake.stop()
         await cancel_all(*self._background)
 
--- a/src/hollowrack/jobs/live_state.py
+++ b/src/hollowrack/jobs/live_state.py
@@ -13,13 +13,13 @@
 
 from hollowrack.clock import now_s
 from hollowrack.coordination.leadership import Leadership
-from hollowrack.coordination.session import is_owner, node_of_owner, owner_in
+from hollowrack.coordination.session import decode_owner, is_owner, node_of_owner
 from hollowrack.coordination.store import StoredItem
 from hollowrack.jobs.job_log import ENDS_PREFIX, OPEN_PREFIX, OpenJob, job_id_of
 from hollowrack.jobs.placement import NodeEntry, preferred_owner
 from hollowrack.jobs.types import Job
 from hollowrack.messages import codec
-from hollowrack.observability.line_limit import LineLimit
+from hollowrack.observability.log_rate_limiter import LogRateLimiter
 from hollowrack.results import Problem, ResultCode
 
 LIVE_PREFIX = "hollowrack/live/"
@@ -29,8 +29,8 @@
 OWNERS_PREFIX = LIVE_PREFIX + "nodes/"
 SUSPECTS_PREFIX = LIVE_PREFIX + "suspects/"
 # Nodes that are asked for changes before the store is; each may cost its whole time-out.
-NUM_SOURCES = 3
-NUM_NEAR_SOURCES = 2
+NUM_OBSERVER_SOURCES = 3
+NUM_LOCAL_OBSERVER_SOURCES = 2
 # Processes whose entry is gone may still answer: these are remembered, the latest ones.
 MAX_FORMER_NODES = 64
 # Finished jobs whose last owner is remembered: it still holds their results for readers.
@@ -75,15 +75,15 @@
         self._on_owned = on_owned
         self._leader: str | None = None
         self._job_seen = asyncio.Event()
-        self._lines = LineLimit()
+        self._lines = LogRateLimiter()
 
-    def take(self, key: str, item: StoredItem | None) -> None:
+    def apply_change(self, key: str, item: StoredItem | None) -> None:
         """Take in a key that was written, or removed (``None``)."""
         if key == LEADER_KEY:
             self._leader = None if item is None else self._read_owner(key, item.value)
-            self._leadership.note(item)
+            self._leadership.update_leader_key(item)
         elif key == self._leadership.last_key:
-            self._leadership.note_last(item)
+            self._leadership.update_last_leader_key(item)
         elif key.startswith(OWNERS_PREFIX):
             self._take_node(key.removeprefix(OWNERS_PREFIX), item)
         elif key.startswith(OPEN_PREFIX):
@@ -124,7 +124,7 @@
             detail = "the owner is no text."
             place = ascii(key)[:MAX_LOGGED_KEY_LENGTH]
             logging.error("%s", Problem(ResultCode.ENTRY_UNREADABLE, detail, place))
-        return owner_in(value)
+        return decode_owner(value)
 
     def _forget_open_job(self, job_id: str) -> None:
         job = self.open_jobs.pop(job_id, None)
@@ -168,10 +168,10 @@
         ranked = self._ranked_owners()
         near = [owner for owner in ranked if self.nodes[owner].zone == self._zone]
         far = [owner for owner in ranked if self.nodes[owner].zone != self._zone]
-        chosen = [*near[:NUM_NEAR_SOURCES], *far][:NUM_SOURCES]
+        chosen = [*near[:NUM_LOCAL_OBSERVER_SOURCES], *far][:NUM_OBSERVER_SOURCES]
         return [self.nodes[owner].address for owner in chosen]
 
-    def leader_and_deputy(self) -> dict[str, str]:
+    def leader_and_fallback_addresses(self) -> dict[str, str]:
         """Where the leader and one more process with a session are reached, by owner name.
 
         The other one is the nearest; this process is neither.
@@ -223,7 +223,7 @@
             return None
         return self._address_of(self.last_owners[job_id])
 
-    def former_address(self, owner: str) -> str | None:
+    def last_known_address(self, owner: str) -> str | None:
         """Where a process is or was reached; ``None`` if it was never seen or is this one."""
         entry = self.nodes.get(owner) or self._former_nodes.get(owner)
         if owner == self._owner or entry is None:
--- a/src/hollowrack/jobs/open_work.py
+++ b/src/hollowrack/jobs/open_work.py
@@ -7,7 +7,7 @@
 from hollowrack.forwarding.types import Worker
 from hollowrack.forwarding.workers import WorkerDirectory
 from hollowrack.jobs.item_runner import ItemRunner
-from hollowrack.jobs.job_standing import JobStanding
+from hollowrack.jobs.job_schedule import JobSchedule
 from hollowrack.jobs.types import Job
 from hollowrack.slots.types import OpenWork
 
@@ -17,10 +17,10 @@
 
 def open_work_of(
     job: Job,
-    standing: JobStanding,
+    standing: JobSchedule,
     runners: Iterable[ItemRunner],
     service: str,
-    lives: Mapping[str, int],
+    incarnation_positions: Mapping[str, int],
     workers: WorkerDirectory,
 ) -> OpenWork | None:
     """Return a job's open work at a service; ``None`` if it has none there.
@@ -30,28 +30,28 @@
         standing: When it is due.
         runners: Its unfinished items.
         service: The service.
-        lives: Position of each life in the report by its text.
+        incarnation_positions: Position of each life in the report by its text.
         workers: The workers known.
     """
-    here = [runner for runner in runners if runner.generates_at == service]
+    here = [runner for runner in runners if runner.active_service == service]
     if not here:
         return None
-    num_waiting = sum(runner.is_waiting for runner in here)
+    num_waiting = sum(runner.is_waiting_for_slot for runner in here)
     route = here[0].route
-    due_s = standing.due_s(route)
+    due_s = standing.deadline_s(route)
     return OpenWork(
         UNKNOWN_PRIORITY if route is None else route.priority,
         None if due_s == NEVER_DUE_S else due_s - now_s(),
         len(here) - num_waiting,
         num_waiting,
-        _eligible(job, workers.placeable(service), lives),
+        _eligible(job, workers.available_for_runs(service), incarnation_positions),
     )
 
 
 def _eligible(job: Job, workers: Iterable[Worker], lives: Mapping[str, int]) -> tuple[int, ...]:
     """Positions of the lives at which a job may run."""
     positions = (
-        lives.get(str(worker.life))
+        lives.get(str(worker.incarnation))
         for worker in workers
         if worker.holds(job.model, job.min_version)
     )
--- a/src/hollowrack/jobs/peers.py
+++ b/src/hollowrack/jobs/peer_jobs.py
@@ -24,7 +24,7 @@
 REMAINDER_PATH = "/jobs/remainder"
 # A former owner may be dead or cut off; what it holds is not worth a longer wait.
 REMAINDER_TIMEOUT_S = 0.6
-READ_GRACE_S = 0.4
+READ_TIMEOUT_MARGIN_S = 0.4
 MAX_READ_WAIT_S = 5.0
 
 
@@ -44,7 +44,7 @@
 
 @message("job.read")
 @dataclass(frozen=True)
-class ReadJob:
+class ReadJobRequest:
     """Asks a job's owner for results from a position on.
 
     Attributes:
@@ -81,7 +81,7 @@
 
 @message("job.leave")
 @dataclass(frozen=True)
-class LeftJob:
+class RemainderRequest:
     """Asks the former owner of a job for what it holds of it.
 
     Attributes:
@@ -97,7 +97,7 @@
     async def remainder(self, address: str, job_id: str) -> JobRemainder:
         """Ask a job's former owner for what it holds; empty if it does not answer soon."""
 
-    async def read(self, address: str, request: ReadJob) -> JobPage | None:
+    async def read(self, address: str, request: ReadJobRequest) -> JobPage | None:
         """Read a job at its owner; ``None`` if that node does not own it or does not answer."""
 
     async def submit(self, address: str, job: Job, timeout_s: float) -> Problem | None:
@@ -132,7 +132,7 @@
 
     async def remainder(self, address: str, job_id: str) -> JobRemainder:
         """Ask a job's former owner for what it holds."""
-        question = LeftJob(job_id)
+        question = RemainderRequest(job_id)
         try:
             answer = await ask_node(
                 self._session, address, REMAINDER_PATH, question, REMAINDER_TIMEOUT_S
@@ -142,9 +142,9 @@
             return JobRemainder()
         return answer if isinstance(answer, JobRemainder) else JobRemainder()
 
-    async def read(self, address: str, request: ReadJob) -> JobPage | None:
+    async def read(self, address: str, request: ReadJobRequest) -> JobPage | None:
         """Read a job at its owner."""
-        total_s = request.wait_s + READ_GRACE_S
+        total_s = request.wait_s + READ_TIMEOUT_MARGIN_S
         try:
             page = await ask_node(self._session, address, READ_PATH, request, total_s)
         except (NodeUnreachableError, NodeSilentError) as error:
@@ -165,7 +165,7 @@
 
 def peer_routes(
     submit: Callable[[Job], Awaitable[Problem | None]],
-    read: Callable[[ReadJob], Awaitable[JobPage]],
+    read: Callable[[ReadJobRequest], Awaitable[JobPage]],
     remainder: Callable[[str], JobRemainder],
 ) -> list[Route]:
     """Return the routes that answer other nodes about jobs.
@@ -182,15 +182,15 @@
             return SubmitAnswer(int(ResultCode.OK))
         return SubmitAnswer(int(problem.code), problem.detail)
 
-    async def read_page(asked: ReadJob) -> JobPage:
+    async def read_page(asked: ReadJobRequest) -> JobPage:
         wait_s = min(MAX_READ_WAIT_S, max(0.0, asked.wait_s))
         return await read(replace(asked, wait_s=wait_s))
 
-    async def give_remainder(asked: LeftJob) -> JobRemainder:
+    async def give_remainder(asked: RemainderRequest) -> JobRemainder:
         return remainder(asked.job_id)
 
     return [
-        question_route(REMAINDER_PATH, (LeftJob,), give_remainder),
+        question_route(REMAINDER_PATH, (RemainderRequest,), give_remainder),
         question_route(SUBMIT_PATH, (Job,), take),
-        question_route(READ_PATH, (ReadJob,), read_page),
+        question_route(READ_PATH, (ReadJobRequest,), read_page),
     ]
--- a/src/hollowrack/jobs/placement.py
+++ b/src/hollowrack/jobs/placement.py
@@ -14,9 +14,9 @@
 from hollowrack.messages.codec import message
 
 # Machines with nearly as much processor time as the largest are as good.
-LARGE_SHARE = 0.9
+LARGE_NODE_FRACTION = 0.9
 # Machines near the caller are taken if the largest has at least this share of the largest of all.
-NEAR_SHARE = 0.5
+LOCAL_NODE_FRACTION = 0.5
 
 
 @message("jobs.node")
@@ -52,10 +52,12 @@
     most_cores = max(entry.num_cores for entry in reachable.values())
     near = {owner: entry for owner, entry in reachable.items() if entry.zone == zone}
     most_near = max((entry.num_cores for entry in near.values()), default=0.0)
-    if zone and most_near > 0.0 and most_near >= NEAR_SHARE * most_cores:
+    if zone and most_near > 0.0 and most_near >= LOCAL_NODE_FRACTION * most_cores:
         reachable, most_cores = near, most_near
     candidates = [
-        owner for owner, entry in reachable.items() if entry.num_cores >= LARGE_SHARE * most_cores
+        owner
+        for owner, entry in reachable.items()
+        if entry.num_cores >= LARGE_NODE_FRACTION * most_cores
     ]
     return _first_by_hash(job.model or f"{job.host}{job.target}", candidates)
 
--- a/src/hollowrack/jobs/progress.py
+++ b/src/hollowrack/jobs/progress.py
@@ -26,7 +26,7 @@
 
 @message("job.kept-event")
 @dataclass(frozen=True)
-class KeptEvent:
+class SavedEvent:
     """One event as it is kept.
 
     Attributes:
@@ -55,7 +55,7 @@
     item_id: str
     run: int
     position: int
-    events: tuple[KeptEvent, ...]
+    events: tuple[SavedEvent, ...]
 
 
 @message("job.progress")
@@ -81,15 +81,15 @@
 
 
 # Events of unfinished items, by item identifier.
-KeptEvents = dict[str, tuple[VersionedEvent, ...]]
+SavedEvents = dict[str, tuple[VersionedEvent, ...]]
 
 
-def kept_event(event: VersionedEvent) -> KeptEvent:
+def to_saved_event(event: VersionedEvent) -> SavedEvent:
     """Return an event as it is kept."""
-    return KeptEvent(event.event.number, event.event.data, event.weight_version)
+    return SavedEvent(event.event.number, event.event.data, event.weight_version)
 
 
-def _versioned(event: KeptEvent) -> VersionedEvent:
+def _versioned(event: SavedEvent) -> VersionedEvent:
     return VersionedEvent(StreamEvent(event.number, event.data, {}, b""), event.weight_version)
 
 
@@ -105,7 +105,7 @@
         self._store = store
         self._writer = xxhash.xxh64_hexdigest(owner.encode())
 
-    def record(self, job_id: str, number: int, items: Sequence[ItemProgress]) -> Put:
+    def make_put(self, job_id: str, number: int, items: Sequence[ItemProgress]) -> Put:
         """Return the write of one record.
 
         Args:
@@ -135,15 +135,15 @@
         return list(by_writer.values())
 
 
-def longest_runs(written: Iterable[Sequence[ItemProgress]]) -> KeptEvents:
+def longest_runs(written: Iterable[Sequence[ItemProgress]]) -> SavedEvents:
     """Join the records of each writer, and return the longest run of each item.
 
     Args:
         written: What each writer has written, in the order of its records.
     """
-    longest: KeptEvents = {}
+    longest: SavedEvents = {}
     for parts in written:
-        runs: dict[tuple[str, int], list[KeptEvent]] = {}
+        runs: dict[tuple[str, int], list[SavedEvent]] = {}
         for part in parts:
             events = runs.setdefault((part.item_id, part.run), [])
             # A record that was written twice repeats events; one that is missing ends the run.
@@ -155,7 +155,7 @@
     return longest
 
 
-def _is_gapless(events: Sequence[KeptEvent]) -> bool:
+def _is_gapless(events: Sequence[SavedEvent]) -> bool:
     first = events[0].number
     return all(event.number == first + index for index, event in enumerate(events))
 
--- a/src/hollowrack/jobs/progress_saver.py
+++ b/src/hollowrack/jobs/progress_saver.py
@@ -10,15 +10,15 @@
 from hollowrack.jobs.progress import (
     MAX_RECORD_BYTES,
     ItemProgress,
-    KeptEvent,
     ProgressLog,
-    kept_event,
+    SavedEvent,
+    to_saved_event,
 )
 
 SAVE_INTERVAL_S = 1.5
 MIN_SLEEP_S = 0.05
 # A store that fails is left alone for this long; every call to it is paid for.
-FAILURE_PAUSE_S = 4.0
+FAILURE_RETRY_INTERVAL_S = 4.0
 # Shorter texts are made again as fast as they are read.
 MIN_EVENTS_SAVED = 16
 
@@ -63,7 +63,7 @@
             if now_s() - self._saved_s < SAVE_INTERVAL_S:
                 continue
             if not await self.save():
-                await asyncio.sleep(FAILURE_PAUSE_S)
+                await asyncio.sleep(FAILURE_RETRY_INTERVAL_S)
 
     async def save(self) -> bool:
         """Save what is new of all long items; returns whether nothing is left unsaved."""
@@ -71,7 +71,7 @@
         while (unsaved := self.unsaved()) is not None:
             if not await self._log.save(unsaved.record):
                 return False
-            self.note_saved(unsaved)
+            self.record_saved(unsaved)
         return True
 
     def unsaved(self, min_age_s: float = 0.0) -> UnsavedProgress | None:
@@ -86,11 +86,11 @@
         if not items:
             return None
         # Each has a key of its own: one that is written late must not replace a newer one.
-        record = self._log.record(self._job_id, self._num_records, items)
+        record = self._log.make_put(self._job_id, self._num_records, items)
         self._num_records += 1
         return UnsavedProgress(record, tuple(items))
 
-    def note_saved(self, progress: UnsavedProgress) -> None:
+    def record_saved(self, progress: UnsavedProgress) -> None:
         """A record was written."""
         self._saved_s = now_s()
         for part in progress.items:
@@ -105,7 +105,7 @@
             if runner.is_generated or len(runner.events) < MIN_EVENTS_SAVED:
                 continue
             position = self._saved.get((runner.item_id, runner.num_restarts), 0)
-            events = tuple(kept_event(event) for event in runner.events[position:])
+            events = tuple(to_saved_event(event) for event in runner.events[position:])
             num_bytes += _size(events)
             if parts and num_bytes > MAX_RECORD_BYTES:
                 break
@@ -114,5 +114,5 @@
         return parts
 
 
-def _size(events: Collection[KeptEvent]) -> int:
+def _size(events: Collection[SavedEvent]) -> int:
     return sum(len(event.data.encode()) for event in events)
--- a/src/hollowrack/jobs/retention.py
+++ b/src/hollowrack/jobs/retention.py
@@ -10,9 +10,9 @@
 from hollowrack.jobs.live_state import LiveState
 from hollowrack.tasks import cancel_all
 
-LOOK_S = 5.0
+RETENTION_POLL_INTERVAL_S = 5.0
 # Jobs removed at each look, so that the store's rate of writes is left to others.
-MAX_REMOVED_A_LOOK = 10
+MAX_REMOVED_PER_POLL = 10
 
 
 class JobRetention:
@@ -45,7 +45,7 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(RETENTION_POLL_INTERVAL_S)
             if self._leadership.is_leader:
                 await self._remove_due()
 
@@ -55,7 +55,7 @@
             for job_id, heard_s in self._live.ended_jobs.items()
             if now_s() - heard_s > self._keep_s
         ]
-        for job_id in due[:MAX_REMOVED_A_LOOK]:
+        for job_id in due[:MAX_REMOVED_PER_POLL]:
             if not await self._log.remove(job_id):
                 return
             logging.info("job %s: removed, its end is over %g s old", job_id, self._keep_s)
--- a/src/hollowrack/jobs/takeover.py
+++ b/src/hollowrack/jobs/takeover.py
@@ -14,16 +14,16 @@
 from hollowrack.jobs.job_log import JobLog, OpenJob, StoredJob
 from hollowrack.jobs.job_service import JobService
 from hollowrack.jobs.live_state import LiveState
-from hollowrack.jobs.peers import PeerJobs
+from hollowrack.jobs.peer_jobs import PeerJobs
 from hollowrack.jobs.progress import JobRemainder, ProgressLog, longest_runs
 from hollowrack.tasks import cancel_all
 
 # An owner whose session is seen to be gone for this long is taken to be gone itself.
-GRACE_S = 0.4
-LOOK_S = 0.25
+SESSION_LOSS_GRACE_S = 0.4
+TAKEOVER_POLL_INTERVAL_S = 0.25
 # A job that could not be taken is tried again after this and the grace.
-ASSIGNED_RETRY_S = 1.5
-IDLE_SCAN_S = 6.0
+CLAIM_RETRY_INTERVAL_S = 1.5
+SCAN_INTERVAL_S = 6.0
 
 
 class JobTakeover:
@@ -73,15 +73,15 @@
         await self._take_back()
         was_leader = False
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(TAKEOVER_POLL_INTERVAL_S)
             is_leader = self._leadership.is_leader
             if is_leader and not was_leader:
-                self._scan_due_s = now_s() + GRACE_S
+                self._scan_due_s = now_s() + SESSION_LOSS_GRACE_S
             was_leader = is_leader
             self._note_owners()
             await self._take_assigned()
             if is_leader and now_s() >= self._scan_due_s:
-                self._scan_due_s = now_s() + IDLE_SCAN_S
+                self._scan_due_s = now_s() + SCAN_INTERVAL_S
                 await self._scan()
 
     async def _take_back(self) -> None:
@@ -108,14 +108,14 @@
             job_id: self._assigned_since_s.get(job_id, now_s()) for job_id in unowned
         }
         for job_id, since_s in list(self._assigned_since_s.items()):
-            if now_s() - since_s >= GRACE_S:
-                self._assigned_since_s[job_id] = now_s() + ASSIGNED_RETRY_S
+            if now_s() - since_s >= SESSION_LOSS_GRACE_S:
+                self._assigned_since_s[job_id] = now_s() + CLAIM_RETRY_INTERVAL_S
                 await self._take_over(unowned[job_id])
 
     def _note_owners(self) -> None:
         live = set(self._live.nodes)
         if self._seen_owners - live:
-            self._scan_due_s = min(self._scan_due_s, now_s() + GRACE_S)
+            self._scan_due_s = min(self._scan_due_s, now_s() + SESSION_LOSS_GRACE_S)
         self._seen_owners = live
 
     async def _scan(self) -> None:
@@ -130,17 +130,17 @@
             await self._claim_and_load(job)
         except Exception:
             logging.exception("job %s: not taken over now", job.job_id)
-            self._scan_due_s = min(self._scan_due_s, now_s() + ASSIGNED_RETRY_S)
+            self._scan_due_s = min(self._scan_due_s, now_s() + CLAIM_RETRY_INTERVAL_S)
 
     async def _claim_and_load(self, job: OpenJob) -> None:
         # The view may lag behind the store: only the claim proves that the job is open.
         if await self._log.claim(job):
             await self._load(job)
         else:
-            self._scan_due_s = min(self._scan_due_s, now_s() + GRACE_S)
+            self._scan_due_s = min(self._scan_due_s, now_s() + SESSION_LOSS_GRACE_S)
 
     async def _ask_former_owner(self, job: OpenJob) -> JobRemainder:
-        address = self._live.former_address(job.owner)
+        address = self._live.last_known_address(job.owner)
         return (
             JobRemainder() if address is None else await self._peers.remainder(address, job.job_id)
         )
@@ -156,6 +156,6 @@
         if isinstance(stored, StoredJob):
             logging.info("job %s: taken over from %s", job.job_id, job.owner)
             kept = longest_runs([*written, remainder.items])
-            self._jobs.own(stored.job, stored.results, True, kept, remainder.results)
+            self._jobs.run_job(stored.job, stored.results, True, kept, remainder.results)
         else:
-            self._scan_due_s = min(self._scan_due_s, now_s() + GRACE_S)
+            self._scan_due_s = min(self._scan_due_s, now_s() + SESSION_LOSS_GRACE_S)
--- a/src/hollowrack/node_duties.py
+++ b/src/hollowrack/node_duties.py
@@ -2,7 +2,7 @@
 
 import time
 
-from hollowrack.capacity.duty import CapacityDuty
+from hollowrack.capacity.reconciler import CapacityReconciler
 from hollowrack.capacity.types import CapacityClient
 from hollowrack.clock import now_s
 from hollowrack.coordination.leadership import Leadership
@@ -12,8 +12,8 @@
 from hollowrack.forwarding.workers import WorkerDirectory
 from hollowrack.jobs.live_state import CAPACITY_KEY, USAGE_KEY, LiveState
 from hollowrack.usage.meter import UsageMeter
+from hollowrack.usage.replicator import UsageReplicator
 from hollowrack.usage.reporter import UsageReporter
-from hollowrack.usage.spreader import UsageSpreader
 from hollowrack.usage.wall_clock import WallClock
 
 
@@ -58,12 +58,12 @@
         usage: UsageConnections | None,
         capacity: CapacityClient | None,
     ) -> None:
-        self._spreader: UsageSpreader | None = None
+        self._spreader: UsageReplicator | None = None
         self._reporter: UsageReporter | None = None
-        self._capacity: CapacityDuty | None = None
+        self._capacity: CapacityReconciler | None = None
         if usage is not None:
-            self._spreader = UsageSpreader(
-                owner, meter, live.leader_and_deputy, live.leader, usage.peers
+            self._spreader = UsageReplicator(
+                owner, meter, live.leader_and_fallback_addresses, live.leader, usage.peers
             )
             self._reporter = UsageReporter(
                 node,
@@ -75,7 +75,7 @@
                 usage.client,
             )
         if capacity is not None:
-            self._capacity = CapacityDuty(
+            self._capacity = CapacityReconciler(
                 node, CAPACITY_KEY, store, leadership, routes.services, workers, capacity
             )
 
@@ -103,14 +103,14 @@
         if self._spreader is not None:
             await self._spreader.abandon()
 
-    def take(self, key: str, item: StoredItem | None) -> bool:
+    def apply_change(self, key: str, item: StoredItem | None) -> bool:
         """Take in a key of the live state; returns whether it is one of the duties'."""
         if key == USAGE_KEY:
             if self._reporter is not None:
-                self._reporter.take(item)
+                self._reporter.update_decided(item)
             return True
         if key == CAPACITY_KEY:
             if self._capacity is not None:
-                self._capacity.take(item)
+                self._capacity.update_plan(item)
             return True
         return False
--- a/src/hollowrack/observability/decisions.py
+++ b/src/hollowrack/observability/decisions.py
@@ -68,7 +68,7 @@
         self._records.append(decision)
         logging.debug("decision %s", decision.as_json())
 
-    def about(self, subject: str) -> list[Decision]:
+    def find_by_subject(self, subject: str) -> list[Decision]:
         """Return the decisions about a subject or anything below it, oldest first."""
         return [
             record
--- a/src/hollowrack/observability/edge_metrics.py
+++ b/src/hollowrack/observability/edge_metrics.py
@@ -25,7 +25,7 @@
 
 
 @dataclass
-class EdgeCounts:
+class EdgeCounters:
     """What is counted as it happens.
 
     Attributes:
@@ -41,7 +41,7 @@
     unreadable_entries: Counter[str] = field(default_factory=Counter)
     suspended_s: float = 0.0
 
-    def note_suspended(self, seconds: float) -> None:
+    def add_suspended(self, seconds: float) -> None:
         """The machine was suspended."""
         self.suspended_s += seconds
 
@@ -54,7 +54,7 @@
         counts: What was counted.
     """
 
-    def __init__(self, node: EdgeNode, counts: EdgeCounts) -> None:
+    def __init__(self, node: EdgeNode, counts: EdgeCounters) -> None:
         self._node = node
         self._counts = counts
 
@@ -94,7 +94,7 @@
         breaks = CounterMetricFamily(
             "hollowrack_requests_broken_off", "By a worker, by what became of it", labels=["worker"]
         )
-        for cause, count in self._node.quarantine.worker_ends.num_breaks.items():
+        for cause, count in self._node.quarantine.crash_detector.num_disconnects.items():
             breaks.add_metric([cause.name], count)
         yield breaks
         workers = GaugeMetricFamily(
@@ -151,7 +151,7 @@
         )
 
         sharing = self._node.slots
-        uses = {service: sharing.holder.use(service) for service in sharing.shared_services()}
+        uses = {service: sharing.holder.usage(service) for service in sharing.shared_services()}
         texts = {
             "granted": "Slots of workers granted to this node",
             "used": "Requests of this node at workers whose slots are shared",
@@ -196,23 +196,23 @@
             (
                 "hollowrack_requests_suspected",
                 "Requests under which a worker ended, quarantined ones included",
-                node.quarantine.register.num_suspects,
+                node.quarantine.registry.num_suspects,
             ),
             (
                 "hollowrack_requests_quarantined",
                 "Requests that are not sent to workers, as too many ended under them",
-                node.quarantine.register.num_quarantined,
+                node.quarantine.registry.num_quarantined,
             ),
             ("hollowrack_items_waiting", "Items waiting for a worker", node.queue.num_waiting),
             (
                 "hollowrack_scorer_calls_waiting",
                 "Scorer calls waiting here, so that others find slots at their workers",
-                node.forwarder.call_places.num_waiting,
+                node.forwarder.call_limiter.num_waiting,
             ),
             (
                 "hollowrack_store_heard_age_seconds",
                 "Since the store answered this node, or one that it learnt from",
-                now - node.shared_store.heard_s(None),
+                now - node.shared_store.last_answer_s(None),
             ),
             (
                 "hollowrack_configuration_age_seconds",
@@ -228,7 +228,7 @@
     return list(zip(bounds, accumulate(map(float, histogram.counts)), strict=True))
 
 
-def metrics_routes(node: EdgeNode, counts: EdgeCounts) -> list[Route]:
+def metrics_routes(node: EdgeNode, counts: EdgeCounters) -> list[Route]:
     """Return the route that tells a node's figures in the Prometheus text format."""
 
     async def render(request: Request) -> Response:
