--- a/src/hollowrack/observability/line_limit.py
+++ b/src/hollowrack/observability/log_rate_limiter.py
@@ -2,11 +2,11 @@
 
 from hollowrack.clock import now_s
 
-MAX_LINES = 20
-PERIOD_S = 10.0
+DEFAULT_MAX_LINES = 20
+DEFAULT_PERIOD_S = 10.0
 
 
-class LineLimit:
+class LogRateLimiter:
     """Allows so many lines in a period, and counts those that were left out.
 
     Args:
@@ -14,7 +14,9 @@
         period_s: Length of a period, in seconds.
     """
 
-    def __init__(self, max_lines: int = MAX_LINES, period_s: float = PERIOD_S) -> None:
+    def __init__(
+        self, max_lines: int = DEFAULT_MAX_LINES, period_s: float = DEFAULT_PERIOD_S
+    ) -> None:
         self._max_lines = max_lines
         self._period_s = period_s
         self._began_s = -float("inf")
@@ -33,7 +35,7 @@
         self._num_lines += 1
         return True
 
-    def take_left_out(self) -> int:
+    def reset_suppressed(self) -> int:
         """Return how many lines were left out since the last call."""
         num_left_out, self._num_left_out = self._num_left_out, 0
         return num_left_out
--- a/src/hollowrack/observability/log_search.py
+++ b/src/hollowrack/observability/log_search.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class LogAccount:
+class LogSearchResult:
     """What logs say about a subject.
 
     Attributes:
@@ -81,7 +81,7 @@
         return None
 
 
-def account_of(subject: str, lines: Iterable[str]) -> LogAccount:
+def search_logs(subject: str, lines: Iterable[str]) -> LogSearchResult:
     """Collect what logs say about a request, item, job or worker by its identifier."""
     parsed, num_unread = parse_lines(lines)
     parsed.sort(key=lambda line: line.time)
@@ -89,7 +89,7 @@
     jobs = {match[2] for line in direct for match in _JOB_OF_ITEM.finditer(line.message)}
     jobs.discard(subject)
     about = [line for line in parsed if subject in line.message or _is_about_jobs(line, jobs)]
-    return LogAccount(tuple(about), tuple(_context(about, parsed)), num_unread)
+    return LogSearchResult(tuple(about), tuple(_context(about, parsed)), num_unread)
 
 
 def _is_about_jobs(line: LogLine, jobs: set[str]) -> bool:
@@ -109,12 +109,12 @@
     ]
 
 
-def workers_named(lines: Iterable[LogLine]) -> list[str]:
+def worker_ids(lines: Iterable[LogLine]) -> list[str]:
     """Return the workers that lines name, sorted."""
     return sorted({match[1] for line in lines for match in _WORKER.finditer(line.message)})
 
 
-def waits_told(lines: Iterable[LogLine]) -> list[str]:
+def wait_descriptions(lines: Iterable[LogLine]) -> list[str]:
     """Return the waits of items that lines tell, one a text, in the order of the lines."""
     told: list[str] = []
     for line in lines:
--- a/src/hollowrack/observability/logs.py
+++ b/src/hollowrack/observability/logs.py
@@ -60,11 +60,11 @@
         log_data.pop("fields", None)
 
 
-MAX_WAITING_RECORDS = 4000
-DRAIN_POLL_S = 0.01
+MAX_QUEUED_RECORDS = 4000
+DRAIN_POLL_INTERVAL_S = 0.01
 
 
-class BoundedHandler(QueueHandler):
+class BoundedLogHandler(QueueHandler):
     """Hands records to a thread that writes them, and drops what it cannot keep up with.
 
     A reader that does not read would otherwise stop the whole process at its next line.
@@ -87,11 +87,11 @@
         """Stop the thread once all that waits is written; needs a reader."""
         self._listener.stop()
 
-    def drain(self, patience_s: float) -> None:
+    def drain(self, timeout_s: float) -> None:
         """Wait a moment until what waits is written, at the end of a process."""
-        deadline_s = time.monotonic() + patience_s
+        deadline_s = time.monotonic() + timeout_s
         while not self._waiting.empty() and time.monotonic() < deadline_s:
-            time.sleep(DRAIN_POLL_S)
+            time.sleep(DRAIN_POLL_INTERVAL_S)
 
     def enqueue(self, record: standard_logging.LogRecord) -> None:
         """Queue a record, or count it as dropped; the count is told once there is room again."""
@@ -105,14 +105,14 @@
             logging.warning("%d log lines were dropped: nobody read them in time", num_dropped)
 
 
-def bound_logging(max_waiting: int = MAX_WAITING_RECORDS) -> BoundedHandler:
+def use_bounded_handler(max_queued: int = MAX_QUEUED_RECORDS) -> BoundedLogHandler:
     """Make logging never wait for its reader; call after :func:`setup_logging`.
 
     Args:
-        max_waiting: Most records that wait to be written.
+        max_queued: Most records that wait to be written.
     """
     target = logging.get_absl_handler()
-    bounded = BoundedHandler(target, max_waiting)
+    bounded = BoundedLogHandler(target, max_queued)
     root = standard_logging.getLogger()
     root.removeHandler(target)
     root.addHandler(bounded)
--- a/src/hollowrack/platform/configuration.py
+++ b/src/hollowrack/platform/configuration.py
@@ -32,10 +32,10 @@
 DEFAULT_TARGET_LATENCY_MS = 1000
 LOWEST_PRIORITY = 9
 # Workers hold this one before any is named.
-FIRST_VERSION = 1
+MIN_NAMED_VERSION = 1
 # What another writer can put into one line of a log, in characters.
-MAX_DETAIL_LENGTH = 300
-MAX_PLACE_LENGTH = 200
+MAX_LOGGED_DETAIL_LENGTH = 300
+MAX_LOGGED_PLACE_LENGTH = 200
 
 Value = TypeVar("Value")
 
@@ -63,7 +63,7 @@
     return _decode(value, key, build, ResultCode.ENTRY_UNREADABLE)
 
 
-def decode_named_version(key: str, value: bytes) -> Result[tuple[str, int], Problem]:
+def decode_target_version(key: str, value: bytes) -> Result[tuple[str, int], Problem]:
     """Decode a trainer's newest version: model and version; fails with ``ENTRY_UNREADABLE``."""
     return _decode(value, key, _named_version, ResultCode.ENTRY_UNREADABLE)
 
@@ -105,8 +105,8 @@
     try:
         return Success(build(parse_object(value)))
     except (ValueError, LookupError, TypeError, AttributeError, ArithmeticError) as error:
-        detail = _bounded(f"{type(error).__name__}: {error}", MAX_DETAIL_LENGTH)
-        return Failure(Problem(code, f"{detail}.", _bounded(place, MAX_PLACE_LENGTH)))
+        detail = _bounded(f"{type(error).__name__}: {error}", MAX_LOGGED_DETAIL_LENGTH)
+        return Failure(Problem(code, f"{detail}.", _bounded(place, MAX_LOGGED_PLACE_LENGTH)))
 
 
 def _bounded(text: str, max_length: int) -> str:
@@ -229,7 +229,7 @@
     model, version = entry["model"], entry["version"]
     if not isinstance(model, str) or type(version) is not int:
         raise ValueError("the model is no text, or the version no whole number")
-    if not FIRST_VERSION <= version <= MAX_WHOLE_NUMBER:
+    if not MIN_NAMED_VERSION <= version <= MAX_WHOLE_NUMBER:
         raise ValueError("the version is no whole number from 1 on that all can tell")
     return model, version
 
--- a/src/hollowrack/platform/edge_process.py
+++ b/src/hollowrack/platform/edge_process.py
@@ -15,12 +15,11 @@
 from hollowrack.edge_connections import EdgeConnections, UsageConnections
 from hollowrack.edge_node import EdgeNode
 from hollowrack.forwarding.stream_forwarder import StreamForwarder
-from hollowrack.jobs.peers import HttpPeerJobs, peer_routes
-from hollowrack.observability.edge_metrics import EdgeCounts, metrics_routes
+from hollowrack.jobs.peer_jobs import HttpPeerJobs, peer_routes
+from hollowrack.observability.edge_metrics import EdgeCounters, metrics_routes
 from hollowrack.platform import names
 from hollowrack.platform.configuration import retirement_status
 from hollowrack.platform.duty_client import PlatformDutyClient
-from hollowrack.platform.feed import answer_watches, follow_platform
 from hollowrack.platform.http_session import client_session
 from hollowrack.platform.ingress import IngressApp, ReadinessApp
 from hollowrack.platform.settings import (
@@ -30,35 +29,36 @@
     read_process_settings,
 )
 from hollowrack.platform.store_client import PlatformStore
+from hollowrack.platform.store_feed import make_mirror_feed, make_platform_feed
 from hollowrack.platform.worker_client import (
     PlatformWorkers,
     announced_version,
     worker_session,
 )
-from hollowrack.slots.peers import HttpSlotPeers, slot_routes
-from hollowrack.suspension import SuspensionWatch
+from hollowrack.slots.peer_http import HttpSlotPeers, slot_routes
+from hollowrack.suspension import SuspensionMonitor
 from hollowrack.tasks import cancel_all
-from hollowrack.usage.peers import HttpUsagePeers, usage_routes
+from hollowrack.usage.peer_http import HttpUsagePeers, usage_routes
 
 MAX_CONNECTIONS = 3000
 # Results may be asked for that long after a job was sent; kept a while longer.
-KEEP_IN_STATUS_TIMES = 2.0
+JOB_RETENTION_FACTOR = 2.0
 READ_TIMEOUT_S = 40.0
 IDLE_TIMEOUT_S = 60.0
 MAX_GRACEFUL_STOP_S = 3.5
-GRACEFUL_STOP_SHARE = 0.4
+GRACEFUL_STOP_FRACTION = 0.4
 REPORT_INTERVAL_S = 10.0
 
 
 # A change needs this long from the store's answer to a worker, by way of the node that refuses.
-KEY_MARGIN_S = 0.5
+KEY_REVOCATION_MARGIN_S = 0.5
 
 
 def max_configuration_age_s(bounds: Bounds) -> float | None:
     """How old a node's configuration may be for it to accept keys; ``None`` for any age."""
     if not bounds.refuses_unsure_keys:
         return None
-    return bounds.revoke_ms / MS_PER_S - KEY_MARGIN_S
+    return bounds.revoke_ms / MS_PER_S - KEY_REVOCATION_MARGIN_S
 
 
 class EdgeProcess:
@@ -107,7 +107,7 @@
                 HttpRelayClient(self._sessions[3]),
                 settings.listen.control_plane,
                 settings.limits.cpu_shares * settings.limits.cores,
-                KEEP_IN_STATUS_TIMES * settings.bounds.status_s,
+                JOB_RETENTION_FACTOR * settings.bounds.status_s,
                 min(settings.bounds.config_apply_ms, settings.bounds.drain_ms) / MS_PER_S,
                 settings.seeds,
                 self._usage_connections(),
@@ -116,9 +116,9 @@
             ),
             self._rng,
         )
-        self._feed = follow_platform(self.node, self._rng)
-        feed = answer_watches(self.node, self._feed)
-        counts = EdgeCounts(
+        self._feed = make_platform_feed(self.node, self._rng)
+        feed = make_mirror_feed(self.node, self._feed)
+        counts = EdgeCounters(
             store_calls=store.num_calls, unreadable_entries=self._feed.unreadable.num_by_prefix
         )
         streams = StreamForwarder(
@@ -139,14 +139,14 @@
             MAX_CONNECTIONS,
             READ_TIMEOUT_S,
             IDLE_TIMEOUT_S,
-            min(MAX_GRACEFUL_STOP_S, GRACEFUL_STOP_SHARE * settings.bounds.grace_s),
+            min(MAX_GRACEFUL_STOP_S, GRACEFUL_STOP_FRACTION * settings.bounds.grace_s),
         )
         self._readiness = HttpServer(
             ReadinessApp(self.node), settings.listen.readiness, "listen.readiness", MAX_CONNECTIONS
         )
         self._store = store
         self._report_task = asyncio.create_task(self._report_calls())
-        self._suspension_watch = SuspensionWatch(counts.note_suspended)
+        self._suspension_watch = SuspensionMonitor(counts.add_suspended)
         self._suspension_watch.start()
         self._peers: HttpServer | None = None
         if settings.listen.control_plane:
@@ -155,7 +155,7 @@
                 *feed_routes(feed),
                 *relay_routes(store),
                 *peer_routes(jobs.submit_here, jobs.answer_peer, jobs.remainder),
-                *usage_routes(self.node.take_usage),
+                *usage_routes(self.node.receive_usage),
                 *slot_routes(self.node.slots.answer),
                 *metrics_routes(self.node, counts),
             ]
--- a/src/hollowrack/platform/exchange.py
+++ b/src/hollowrack/platform/exchange.py
@@ -30,7 +30,7 @@
 Value = TypeVar("Value")
 
 
-class CallerLeftError(Exception):
+class ClientDisconnectedError(Exception):
     """The client closed its connection."""
 
 
@@ -99,7 +99,7 @@
         """Return a query parameter, or an empty text."""
         return parse_qs(self._query).get(name, [""])[0]
 
-    def whole_number(self, name: str) -> int | None:
+    def query_int(self, name: str) -> int | None:
         """Return a query parameter as a number, 0 if it is absent, ``None`` if it is none."""
         value = self.query_value(name)
         if not value:
@@ -129,7 +129,7 @@
         while True:
             message = await self._receive()
             if message["type"] == "http.disconnect":
-                raise CallerLeftError
+                raise ClientDisconnectedError
             part = message.get("body", b"")
             num_bytes += len(part)
             if num_bytes > max_bytes:
@@ -139,11 +139,11 @@
             if not message.get("more_body"):
                 return b"".join(parts)
 
-    async def while_connected(self, work: Awaitable[Value]) -> Value:
+    async def run_while_connected(self, work: Awaitable[Value]) -> Value:
         """Do work, and cancel it at once if the client leaves.
 
         Raises:
-            CallerLeftError: If the client left first.
+            ClientDisconnectedError: If the client left first.
         """
         working = asyncio.ensure_future(work)
         leaving = asyncio.ensure_future(self._until_left())
@@ -151,7 +151,7 @@
             await asyncio.wait({working, leaving}, return_when=asyncio.FIRST_COMPLETED)
             if working.done():
                 return working.result()
-            raise CallerLeftError
+            raise ClientDisconnectedError
         finally:
             for task in (working, leaving):
                 if not task.done():
@@ -183,7 +183,7 @@
         status = DESCRIPTIONS[problem.code].http_status
         await self._send_answer(status, headers, json.dumps(problem_body(problem)).encode())
 
-    async def begin(self, status: int, headers: Headers) -> None:
+    async def start_stream(self, status: int, headers: Headers) -> None:
         """Send the head of a streamed answer."""
         self._answers[ResultCode.OK.name] += 1
         self.has_begun = True
--- a/src/hollowrack/platform/ingress.py
+++ b/src/hollowrack/platform/ingress.py
@@ -15,7 +15,7 @@
 from hollowrack.forwarding.types import RouteKind
 from hollowrack.jobs.types import scoped_job_id
 from hollowrack.platform import names
-from hollowrack.platform.exchange import JSON_HEADERS, CallerLeftError, Exchange, send_whole
+from hollowrack.platform.exchange import JSON_HEADERS, ClientDisconnectedError, Exchange, send_whole
 from hollowrack.platform.job_format import decode_job, encode_page
 from hollowrack.results import Problem, ResultCode
 from hollowrack.tenants.authentication import authenticate
@@ -69,10 +69,10 @@
         if scope["type"] != "http":
             return
         exchange = Exchange(scope, receive, send, self._node, self._answers)
-        with contextlib.suppress(CallerLeftError):
+        with contextlib.suppress(ClientDisconnectedError):
             try:
                 await self._answer(exchange)
-            except CallerLeftError:
+            except ClientDisconnectedError:
                 raise
             except Exception:
                 logging.exception("request %s failed here", exchange.request_id)
@@ -139,7 +139,7 @@
         What an old configuration lacks may have been added since, and callers do not repeat a
         request that was answered by the absence.
         """
-        if not self._node.may_lack_changes:
+        if not self._node.is_configuration_stale:
             return problem
         detail = f"{problem.code.name} by {self._node.routes.describe()}"
         return Problem(
@@ -168,7 +168,7 @@
         await answer(exchange, scoped_job_id(name, caller_job_id))
 
     async def _forward(self, exchange: Exchange, request: ForwardRequest) -> None:
-        outcome = await exchange.while_connected(self._node.forwarder.forward(request))
+        outcome = await exchange.run_while_connected(self._node.forwarder.forward(request))
         if isinstance(outcome, Problem):
             await exchange.send_problem(outcome)
         else:
@@ -180,14 +180,14 @@
         ) as parts:
             while True:
                 try:
-                    part = await exchange.while_connected(anext(parts))
+                    part = await exchange.run_while_connected(anext(parts))
                 except StopAsyncIteration:
                     break
                 if isinstance(part, Problem):
                     await exchange.send_problem(part)
                     return
                 if isinstance(part, StreamHead):
-                    await exchange.begin(part.status, part.headers)
+                    await exchange.start_stream(part.status, part.headers)
                 else:
                     await exchange.send_chunk(part)
         await exchange.finish()
@@ -198,7 +198,7 @@
         if isinstance(job, Failure):
             await exchange.send_problem(job.failure())
             return
-        problem = await exchange.while_connected(self._node.jobs.submit(job.unwrap()))
+        problem = await exchange.run_while_connected(self._node.jobs.submit(job.unwrap()))
         if problem is not None:
             await exchange.send_problem(problem)
         else:
@@ -206,18 +206,20 @@
 
     async def _job_call(self, exchange: Exchange, job_id: str) -> None:
         if exchange.method == "DELETE":
-            problem = await exchange.while_connected(self._node.jobs.end(job_id))
+            problem = await exchange.run_while_connected(self._node.jobs.end(job_id))
             if problem is not None:
                 await exchange.send_problem(problem)
             else:
                 await exchange.send(HTTP_OK, JSON_HEADERS, b"{}")
             return
-        after = exchange.whole_number("after-revision")
+        after = exchange.query_int("after-revision")
         if after is None:
             problem = Problem(ResultCode.BAD_REQUEST, "must be a whole number", "after-revision")
             await exchange.send_problem(problem)
             return
-        page = await exchange.while_connected(self._node.jobs.read(job_id, after, exchange.wait_s))
+        page = await exchange.run_while_connected(
+            self._node.jobs.read(job_id, after, exchange.wait_s)
+        )
         if isinstance(page, Problem):
             await exchange.send_problem(page)
         else:
@@ -225,7 +227,7 @@
 
     async def _item_call(self, exchange: Exchange, job_id: str) -> None:
         item_id = exchange.query_value("id")
-        item = await exchange.while_connected(self._node.jobs.item(job_id, item_id))
+        item = await exchange.run_while_connected(self._node.jobs.item(job_id, item_id))
         if isinstance(item, Problem):
             await exchange.send_problem(item)
         else:
--- a/src/hollowrack/platform/program.py
+++ b/src/hollowrack/platform/program.py
@@ -5,8 +5,8 @@
 
 EDGE_ROLE = "edge"
 STORAGE_ROLE = "storage"
-USAGE_STATUS = 25
-DRAIN_PATIENCE_S = 0.5
+USAGE_EXIT_STATUS = 25
+LOG_DRAIN_TIMEOUT_S = 0.5
 
 
 def main(arguments: list[str]) -> int:
@@ -20,13 +20,13 @@
     if arguments == [EDGE_ROLE]:
         return _run_edge()
     sys.stderr.write("usage: run.py edge|storage\n")
-    return USAGE_STATUS
+    return USAGE_EXIT_STATUS
 
 
 def _run_edge() -> int:
     from returns.result import Failure  # noqa: PLC0415
 
-    from hollowrack.observability.logs import bound_logging, setup_logging  # noqa: PLC0415
+    from hollowrack.observability.logs import setup_logging, use_bounded_handler  # noqa: PLC0415
     from hollowrack.platform.edge_process import serve_edge  # noqa: PLC0415
     from hollowrack.platform.settings import read_process_settings  # noqa: PLC0415
     from hollowrack.results import ProblemError, exit_status  # noqa: PLC0415
@@ -39,12 +39,12 @@
         return exit_status(settings.failure().code)
     checked = settings.unwrap()
     setup_logging(Logging(), checked.node_name, checked.zone)
-    bounded = bound_logging()
+    bounded = use_bounded_handler()
     try:
         run_on_boot_time(serve_edge(checked))
     except ProblemError as error:
         sys.stderr.write(f"{error.problem}\n")
         return exit_status(error.problem.code)
     finally:
-        bounded.drain(DRAIN_PATIENCE_S)
+        bounded.drain(LOG_DRAIN_TIMEOUT_S)
     return 0
--- a/src/hollowrack/platform/store_client.py
+++ b/src/hollowrack/platform/store_client.py
@@ -37,7 +37,7 @@
 CONNECT_TIMEOUT_S = 0.6
 # A slow store answers in a quarter of a second. A watch that hangs on a connection whose other end
 # is gone holds changes up for this long.
-WATCH_GRACE_S = 0.8
+WATCH_TIMEOUT_MARGIN_S = 0.8
 MS_PER_S = 1000
 
 
@@ -114,7 +114,7 @@
             "GET",
             names.KV_WATCH_PATH,
             query,
-            timeout_s=wait_s + WATCH_GRACE_S,
+            timeout_s=wait_s + WATCH_TIMEOUT_MARGIN_S,
             quiet_s=wait_s,
         )
         if isinstance(answer, NotDone | Unknown):
--- a/src/hollowrack/platform/feed.py
+++ b/src/hollowrack/platform/store_feed.py
@@ -14,23 +14,23 @@
 from hollowrack.coordination.store import CoordinationStore, StoredItem
 from hollowrack.edge_node import EdgeNode
 from hollowrack.forwarding.types import RoutingConfiguration, Worker
-from hollowrack.observability.line_limit import LineLimit
+from hollowrack.observability.log_rate_limiter import LogRateLimiter
 from hollowrack.platform import names
 from hollowrack.platform.configuration import (
     check_retirement,
     decode_configuration,
-    decode_named_version,
+    decode_target_version,
     decode_worker,
 )
 from hollowrack.platform.unreadable_entries import UnreadableEntries
 from hollowrack.results import Problem, ResultCode
 
 # Only the leader's watches reach the store, so that they may be close.
-OPERATOR_PACE_S = 0.15
-WORKER_PACE_S = 0.25
+OPERATOR_POLL_INTERVAL_S = 0.15
+WORKER_POLL_INTERVAL_S = 0.25
 # Changes missed by a watch must be noticed well inside the two seconds they have.
-OPERATOR_WAIT_S = 0.5
-WORKER_WAIT_S = 1.0
+OPERATOR_WATCH_TIMEOUT_S = 0.5
+WORKER_WATCH_TIMEOUT_S = 1.0
 
 Value = TypeVar("Value")
 
@@ -44,16 +44,16 @@
     def worker_changed(self, worker: Worker) -> None:
         """A worker has a new state."""
 
-    def worker_gone(self, worker_id: str) -> None:
+    def worker_removed(self, worker_id: str) -> None:
         """A worker is gone."""
 
-    def version_named(self, model: str, version: int) -> None:
+    def target_version_changed(self, model: str, version: int) -> None:
         """A trainer has named a weight version."""
 
-    def retirement_asked(self, node: str) -> None:
+    def retirement_requested(self, node: str) -> None:
         """An operator asks that a machine be emptied."""
 
-    def store_doubted(self) -> None:
+    def watch_interrupted(self) -> None:
         """Watches of the store may have missed changes."""
 
 
@@ -90,7 +90,7 @@
     ) -> None:
         self._listener = listener
         self.anti_entropy: AntiEntropy | None = None
-        self.unreadable = UnreadableEntries(LineLimit())
+        self.unreadable = UnreadableEntries(LogRateLimiter())
         self.operators = PrefixMirror(
             store,
             names.OPERATOR_PREFIX,
@@ -108,7 +108,7 @@
             worker_pace_s,
             rng,
             worker_wait_s,
-            rests_on_sentinel=True,
+            has_sentinel=True,
             starts_after=starts_after,
         )
 
@@ -128,25 +128,25 @@
 
     def rewatch_workers(self) -> None:
         """Begin the watch of workers' entries anew."""
-        self.workers.rewatch()
+        self.workers.restart_watch()
 
     def rewatch(self) -> None:
         """Begin both watches anew."""
-        self.operators.rewatch()
-        self.workers.rewatch()
+        self.operators.restart_watch()
+        self.workers.restart_watch()
 
     def wake(self) -> None:
         """End the mirrors' pauses after failures."""
-        self.operators.wake()
-        self.workers.wake()
+        self.operators.retry_now()
+        self.workers.retry_now()
 
     def mirrors(self) -> dict[str, PrefixMirror]:
         """Return the mirrors by prefix."""
         return {names.OPERATOR_PREFIX: self.operators, names.WORKERS_PREFIX: self.workers}
 
     def _on_doubt(self) -> None:
-        self.workers.recheck()
-        self._listener.store_doubted()
+        self.workers.relist()
+        self._listener.watch_interrupted()
 
     def _on_operator_key(self, key: str, item: StoredItem | None) -> None:
         if item is None:
@@ -156,7 +156,7 @@
         if problem is None:
             self.unreadable.forget(key)
         else:
-            self.unreadable.note(names.OPERATOR_PREFIX, key, problem)
+            self.unreadable.record(names.OPERATOR_PREFIX, key, problem)
 
     def _on_removed_operator_key(self, key: str) -> None:
         self.unreadable.forget(key)
@@ -169,12 +169,14 @@
         if key == names.CONFIGURATION_KEY:
             return self._take(decode_configuration(value), self._listener.configuration_changed)
         if key.startswith(names.NAMED_VERSION_PREFIX):
-            named = decode_named_version(key, value)
-            return self._take(named, lambda version: self._listener.version_named(*version))
+            named = decode_target_version(key, value)
+            return self._take(
+                named, lambda version: self._listener.target_version_changed(*version)
+            )
         if key.startswith(names.RETIREMENT_PREFIX):
             machine = key.removeprefix(names.RETIREMENT_PREFIX)
             asked = check_retirement(key, value)
-            return self._take(asked, lambda _: self._listener.retirement_asked(machine))
+            return self._take(asked, lambda _: self._listener.retirement_requested(machine))
         return None
 
     @staticmethod
@@ -190,19 +192,19 @@
         worker_id = key.removeprefix(names.WORKERS_PREFIX)
         if item is None:
             self.unreadable.forget(key)
-            self._listener.worker_gone(worker_id)
+            self._listener.worker_removed(worker_id)
             return
         worker = decode_worker(key, item.value)
         if isinstance(worker, Failure):
-            self.unreadable.note(names.WORKERS_PREFIX, key, worker.failure())
+            self.unreadable.record(names.WORKERS_PREFIX, key, worker.failure())
             # Its address may be another worker's by now.
-            self._listener.worker_gone(worker_id)
+            self._listener.worker_removed(worker_id)
         else:
             self.unreadable.forget(key)
             self._listener.worker_changed(worker.unwrap())
 
 
-def follow_platform(node: EdgeNode, rng: random.Random) -> PlatformFeed:
+def make_platform_feed(node: EdgeNode, rng: random.Random) -> PlatformFeed:
     """Return a feed of a node's own, joined to it and not started.
 
     Args:
@@ -214,12 +216,12 @@
     feed = PlatformFeed(
         shared,
         node,
-        OPERATOR_PACE_S,
-        WORKER_PACE_S,
-        OPERATOR_WAIT_S,
-        WORKER_WAIT_S,
+        OPERATOR_POLL_INTERVAL_S,
+        WORKER_POLL_INTERVAL_S,
+        OPERATOR_WATCH_TIMEOUT_S,
+        WORKER_WATCH_TIMEOUT_S,
         rng,
-        node.may_follow,
+        node.may_watch_feed,
     )
     feed.anti_entropy = AntiEntropy(
         feed.mirrors(), node.feed_client, node.neighbour_addresses, shared, rng
@@ -230,7 +232,7 @@
     return feed
 
 
-def answer_watches(node: EdgeNode, feed: PlatformFeed) -> MirrorFeed:
+def make_mirror_feed(node: EdgeNode, feed: PlatformFeed) -> MirrorFeed:
     """Return what answers other nodes' watches from a node's mirrors."""
     mirrors = {**feed.mirrors(), **node.shared_mirrors()}
-    return MirrorFeed(mirrors, node.shared_store.heard_s)
+    return MirrorFeed(mirrors, node.shared_store.last_answer_s)
--- a/src/hollowrack/platform/worker_client.py
+++ b/src/hollowrack/platform/worker_client.py
@@ -28,16 +28,16 @@
 from hollowrack.platform.configuration import model_versions, started_ms
 from hollowrack.platform.http_session import client_session
 from hollowrack.platform.load_report import LoadReportDecoder
-from hollowrack.weights.order_giver import OrderOutcome, VersionOrder, WorkerReport
+from hollowrack.weights.version_reconciler import OrderOutcome, VersionOrder, WorkerReport
 
 CONNECT_TIMEOUT_S = 0.5
 # New connections to workers are paid for. Workers close idle ones after 10 s, by
 # their Keep-Alive headers; one that a worker has closed earlier is not used again.
-KEPT_CONNECTION_S = 9.5
+IDLE_CONNECTION_TIMEOUT_S = 9.5
 # Callers that hang up and second attempts that win end a request to a sound worker as well. Only
 # one that was given this long, in seconds, is taken for silent: most answers begin sooner, and a
 # connection that is closed for nothing is paid for again.
-CALLER_PATIENCE_S = 0.5
+MIN_SILENCE_S = 0.5
 REPORT_TIMEOUT_S = 0.8
 ORDER_TIMEOUT_S = 0.8
 MS_PER_S = 1000
@@ -160,7 +160,7 @@
     Args:
         force_close: Whether every request has a connection of its own.
     """
-    session = client_session(force_close, _TrackedResponse, KEPT_CONNECTION_S)
+    session = client_session(force_close, _TrackedResponse, IDLE_CONNECTION_TIMEOUT_S)
     # The library would send a GET once more by itself when a kept connection breaks. Such a run is
     # counted by nobody, and a worker that ended under the first one would pass for not reached.
     session._retry_connection = False
@@ -235,7 +235,7 @@
         """Send a request; see :class:`BackEndClient`."""
         session = self._session if is_repeatable else self._fresh_session
         try:
-            with noticing_silence(session, f"http://{worker.address}", CALLER_PATIENCE_S):
+            with noticing_silence(session, f"http://{worker.address}", MIN_SILENCE_S):
                 response = await session.request(
                     call.method,
                     URL(f"http://{worker.address}{call.target}", encoded=True),
@@ -278,14 +278,14 @@
             num_orders, is_busy = int(body["sequence"]), bool(body["busy"])
             return WorkerReport(num_orders, is_busy, versions, started_ms(body))
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            logging.info("worker %s: no report: %s", worker.life, type(error).__name__)
+            logging.info("worker %s: no report: %s", worker.incarnation, type(error).__name__)
         except _UNREADABLE as error:
             logging.warning(
-                "worker %s: its report cannot be read: %s", worker.life, type(error).__name__
+                "worker %s: its report cannot be read: %s", worker.incarnation, type(error).__name__
             )
         return None
 
-    async def give(self, order: VersionOrder) -> OrderOutcome:
+    async def send_order(self, order: VersionOrder) -> OrderOutcome:
         """Give an order."""
         body = {
             "op": "version",
@@ -304,7 +304,7 @@
             return OrderOutcome.UNKNOWN
         if status == HTTPStatus.ACCEPTED:
             return OrderOutcome.ACCEPTED
-        return OrderOutcome.HOLDS_ALREADY if status == HTTPStatus.OK else OrderOutcome.REFUSED
+        return OrderOutcome.ALREADY_LOADED if status == HTTPStatus.OK else OrderOutcome.REFUSED
 
     async def _exchange(
         self, worker: Worker, method: str, path: str, timeout_s: float, body: object = None
@@ -331,7 +331,7 @@
     except ConnectionRefusedError:
         return True
     except (OSError, ValueError) as error:
-        logging.info("worker %s: not known whether it listens: %s", worker.life, error)
+        logging.info("worker %s: not known whether it listens: %s", worker.incarnation, error)
         return False
     writer.close()
     return False
--- a/src/hollowrack/quarantine/places.py
+++ b/src/hollowrack/quarantine/placement.py
@@ -7,39 +7,39 @@
 
 from collections import Counter, defaultdict
 
-from hollowrack.forwarding.types import WorkerLife
-from hollowrack.quarantine.register import NUM_ENDS, SuspectRegister
+from hollowrack.forwarding.types import WorkerIncarnation
+from hollowrack.quarantine.registry import QUARANTINE_CRASH_THRESHOLD, SuspectRegistry
 
 # One end more condemns such a request.
-NUM_ENDS_KEPT_APART = NUM_ENDS - 1
+ISOLATION_CRASH_THRESHOLD = QUARANTINE_CRASH_THRESHOLD - 1
 
 
-class SuspectPlaces:
+class SuspectPlacement:
     """Where this node runs suspects.
 
     Args:
         register: How many workers have ended under each request.
     """
 
-    def __init__(self, register: SuspectRegister) -> None:
+    def __init__(self, register: SuspectRegistry) -> None:
         self._register = register
-        self._suspects_at: defaultdict[WorkerLife, Counter[str]] = defaultdict(Counter)
+        self._suspects_at: defaultdict[WorkerIncarnation, Counter[str]] = defaultdict(Counter)
 
-    def allows(self, fingerprint: str, worker: WorkerLife) -> bool:
+    def allows(self, fingerprint: str, worker: WorkerIncarnation) -> bool:
         """Whether a request may begin at a worker beside those that are there."""
-        num_ended = self._register.num_ended(fingerprint)
+        num_ended = self._register.num_crashes(fingerprint)
         if num_ended == 0 or worker not in self._suspects_at:
             return True
         others = [other for other in self._suspects_at[worker] if other != fingerprint]
-        most_ended = max((self._register.num_ended(other) for other in others), default=0)
-        return most_ended == 0 or max(num_ended, most_ended) < NUM_ENDS_KEPT_APART
+        most_ended = max((self._register.num_crashes(other) for other in others), default=0)
+        return most_ended == 0 or max(num_ended, most_ended) < ISOLATION_CRASH_THRESHOLD
 
-    def begin(self, fingerprint: str, worker: WorkerLife) -> None:
+    def begin(self, fingerprint: str, worker: WorkerIncarnation) -> None:
         """A request begins at a worker."""
-        if self._register.num_ended(fingerprint) > 0:
+        if self._register.num_crashes(fingerprint) > 0:
             self._suspects_at[worker][fingerprint] += 1
 
-    def end(self, fingerprint: str, worker: WorkerLife) -> None:
+    def end(self, fingerprint: str, worker: WorkerIncarnation) -> None:
         """A request is over at a worker."""
         suspects = self._suspects_at.get(worker)
         if suspects is None or fingerprint not in suspects:
--- a/src/hollowrack/quarantine/quarantine.py
+++ b/src/hollowrack/quarantine/quarantine.py
@@ -2,10 +2,10 @@
 
 from hollowrack.forwarding.back_end import BackEndClient
 from hollowrack.forwarding.types import Worker
-from hollowrack.quarantine.places import SuspectPlaces
-from hollowrack.quarantine.register import SuspectRegister
-from hollowrack.quarantine.types import Verdict
-from hollowrack.quarantine.worker_ends import WorkerEnds
+from hollowrack.quarantine.crash_detector import CrashDetector
+from hollowrack.quarantine.placement import SuspectPlacement
+from hollowrack.quarantine.registry import SuspectRegistry
+from hollowrack.quarantine.types import QuarantineState
 from hollowrack.results import Problem, ResultCode
 
 
@@ -16,18 +16,18 @@
         back_ends: Looks whether workers that broke requests off have ended.
 
     Attributes:
-        register: What is known of crashing requests.
-        worker_ends: Tells ends of workers from broken connections.
-        places: Keeps suspects apart.
+        registry: What is known of crashing requests.
+        crash_detector: Tells ends of workers from broken connections.
+        suspect_placement: Keeps suspects apart.
     """
 
     def __init__(self, back_ends: BackEndClient) -> None:
-        self.register = SuspectRegister()
-        self.worker_ends = WorkerEnds(back_ends, self.register.note_ended)
-        self.places = SuspectPlaces(self.register)
+        self.registry = SuspectRegistry()
+        self.crash_detector = CrashDetector(back_ends, self.registry.record_crash)
+        self.suspect_placement = SuspectPlacement(self.registry)
 
-    def note_break(
-        self, request_id: str, fingerprint: str, worker: Worker, goes_on: bool = False
+    def record_disconnect(
+        self, request_id: str, fingerprint: str, worker: Worker, is_retried_here: bool = False
     ) -> None:
         """A worker broke a request off.
 
@@ -35,31 +35,31 @@
             request_id: The try's identifier.
             fingerprint: The request's.
             worker: The worker.
-            goes_on: Whether this node runs the request until it is whole.
+            is_retried_here: Whether this node runs the request until it is whole.
         """
-        self.worker_ends.note_break(request_id, fingerprint, worker, goes_on)
+        self.crash_detector.record_disconnect(request_id, fingerprint, worker, is_retried_here)
 
-    def note_good(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """A worker answered a request well."""
-        self.register.note_good(fingerprint)
+        self.registry.record_success(fingerprint)
 
-    def note_left(self, fingerprint: str) -> None:
+    def record_abandoned(self, fingerprint: str) -> None:
         """This node stopped running a request that is not whole: it may go on elsewhere."""
-        self.register.note_left(fingerprint)
+        self.registry.record_abandoned(fingerprint)
 
-    def verdict(self, fingerprint: str) -> Verdict | None:
+    def quarantine_state(self, fingerprint: str) -> QuarantineState | None:
         """Why a request must not be sent to a worker; ``None`` if it may be."""
-        return self.register.verdict(fingerprint)
+        return self.registry.quarantine_state(fingerprint)
 
     async def wait_until_lifted(self, fingerprint: str) -> None:
         """Wait until a request may be sent to workers."""
-        await self.register.wait_until_lifted(fingerprint)
+        await self.registry.wait_until_lifted(fingerprint)
 
 
-def refusal(verdict: Verdict, fingerprint: str, request_id: str) -> Problem:
+def quarantine_problem(verdict: QuarantineState, fingerprint: str, request_id: str) -> Problem:
     """Return what a caller is told whose try has been sent to no worker."""
     detail = (
-        f"{verdict.num_ended} workers have ended under the request of fingerprint {fingerprint}"
+        f"{verdict.num_crashes} workers have ended under the request of fingerprint {fingerprint}"
     )
     return Problem(
         ResultCode.REQUEST_QUARANTINED, detail, request_id, round(verdict.remaining_s, 1)
--- a/src/hollowrack/quarantine/register.py
+++ b/src/hollowrack/quarantine/registry.py
@@ -1,7 +1,8 @@
 """Which requests have ended workers, as far as one node knows.
 
-A request is quarantined once as many workers as :data:`NUM_ENDS` have ended under it, wherever and
-in however many tries. An answer by a worker that lived through the request clears it.
+A request is quarantined once as many workers as :data:`QUARANTINE_CRASH_THRESHOLD` have ended under
+it, wherever and in however many tries. An answer by a worker that lived through the request clears
+it.
 """
 
 import asyncio
@@ -13,20 +14,20 @@
 
 from hollowrack.clock import now_s
 from hollowrack.coordination.store import ABSENT_REVISION
-from hollowrack.forwarding.types import WorkerLife
-from hollowrack.quarantine.types import SuspectChange, Verdict
+from hollowrack.forwarding.types import WorkerIncarnation
+from hollowrack.quarantine.types import QuarantineState, SuspectChange
 
 # Sound requests are caught in the end of a worker once or, beside a crashing one, twice.
-NUM_ENDS = 3
+QUARANTINE_CRASH_THRESHOLD = 3
 # From this many on other nodes are told at once, though the request may still be on its way.
-NUM_ENDS_TOLD_AT_ONCE = 2
+IMMEDIATE_SHARING_CRASH_THRESHOLD = 2
 # After this time a request may be tried again: its workers may have been mended meanwhile.
 QUARANTINE_S = 3600.0
 # A request that a worker answered this lately is not what ended another: requests that crash
 # workers crash each one. It spares look-ups that many callers make at once when workers are lost
 # together.
-GOOD_FOR_S = 5.0
-MAX_GOOD = 4096
+SUCCESS_TTL_S = 5.0
+MAX_RECENT_SUCCESSES = 4096
 MAX_SUSPECTS = 1024
 
 
@@ -51,7 +52,7 @@
     since_s: float = 0.0
 
 
-class SuspectRegister:
+class SuspectRegistry:
     """The requests that are suspected or quarantined, by fingerprint.
 
     Attributes:
@@ -72,66 +73,72 @@
     @property
     def num_quarantined(self) -> int:
         """How many requests are not sent to workers."""
-        return sum(self.verdict(fingerprint) is not None for fingerprint in self._suspects)
+        return sum(self.quarantine_state(fingerprint) is not None for fingerprint in self._suspects)
 
-    def note_ended(self, fingerprint: str, worker: WorkerLife, goes_on: bool) -> None:
+    def record_crash(
+        self, fingerprint: str, worker: WorkerIncarnation, is_retried_here: bool
+    ) -> None:
         """A worker ended while it ran a request.
 
         Args:
             fingerprint: The request's.
             worker: The life of the worker.
-            goes_on: Whether this node runs the request until it is whole, so that others need not
-                know of a first end.
+            is_retried_here: Whether this node runs the request until it is whole, so that others
+                need not know of a first end.
         """
         good_s = self._good_s.get(fingerprint)
-        if good_s is not None and now_s() - good_s < GOOD_FOR_S:
+        if good_s is not None and now_s() - good_s < SUCCESS_TTL_S:
             return
         suspect = self._of(fingerprint)
         suspect.is_cleared = False
         self._add(fingerprint, suspect, {str(worker)})
-        suspect.must_tell |= not goes_on or len(suspect.ended) >= NUM_ENDS_TOLD_AT_ONCE
+        suspect.must_tell |= (
+            not is_retried_here or len(suspect.ended) >= IMMEDIATE_SHARING_CRASH_THRESHOLD
+        )
         self.changed.set()
 
-    def note_left(self, fingerprint: str) -> None:
+    def record_abandoned(self, fingerprint: str) -> None:
         """This node stopped running a request that is not whole: it may go on elsewhere."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and not suspect.is_cleared:
             suspect.must_tell = True
             self.changed.set()
 
-    def note_good(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """A worker answered a request well: it is sound."""
         self._good_s[fingerprint] = now_s()
         self._good_s.move_to_end(fingerprint)
-        if len(self._good_s) > MAX_GOOD:
+        if len(self._good_s) > MAX_RECENT_SUCCESSES:
             self._good_s.popitem(last=False)
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and not suspect.is_cleared:
             self._clear(fingerprint)
 
-    def verdict(self, fingerprint: str) -> Verdict | None:
+    def quarantine_state(self, fingerprint: str) -> QuarantineState | None:
         """Why a request must not be sent to a worker; ``None`` if it may be."""
         suspect = self._suspects.get(fingerprint)
-        if suspect is None or suspect.is_cleared or len(suspect.ended) < NUM_ENDS:
+        if suspect is None or suspect.is_cleared or len(suspect.ended) < QUARANTINE_CRASH_THRESHOLD:
             return None
         remaining_s = suspect.since_s + QUARANTINE_S - now_s()
-        return Verdict(len(suspect.ended), remaining_s) if remaining_s > 0.0 else None
+        return QuarantineState(len(suspect.ended), remaining_s) if remaining_s > 0.0 else None
 
-    def num_ended(self, fingerprint: str) -> int:
+    def num_crashes(self, fingerprint: str) -> int:
         """How many workers are known to have ended under a request."""
         suspect = self._suspects.get(fingerprint)
         return 0 if suspect is None or suspect.is_cleared else len(suspect.ended)
 
     async def wait_until_lifted(self, fingerprint: str) -> None:
         """Wait until a request may be sent to workers."""
-        while (verdict := self.verdict(fingerprint)) is not None:
+        while (verdict := self.quarantine_state(fingerprint)) is not None:
             try:
                 async with asyncio.timeout(verdict.remaining_s):
                     await self._lifted.wait()
             except TimeoutError:
                 continue
 
-    def take(self, fingerprint: str, ended_workers: Iterable[str], revision: int) -> None:
+    def update_from_record(
+        self, fingerprint: str, ended_workers: Iterable[str], revision: int
+    ) -> None:
         """Take in what the store's record of a request says."""
         suspect = self._of(fingerprint)
         if revision <= suspect.revision:
@@ -141,7 +148,7 @@
         self._add(fingerprint, suspect, suspect.shared)
         self.changed.set()
 
-    def take_removal(self, fingerprint: str) -> None:
+    def remove_record(self, fingerprint: str) -> None:
         """The store's record of a request is gone: it was cleared, or its time is over."""
         if fingerprint in self._suspects:
             self._forget(fingerprint)
@@ -181,7 +188,7 @@
         *older, _ = (
             fingerprint for fingerprint, suspect in self._suspects.items() if not suspect.is_cleared
         )
-        free = (fingerprint for fingerprint in older if self.verdict(fingerprint) is None)
+        free = (fingerprint for fingerprint in older if self.quarantine_state(fingerprint) is None)
         chosen = next(free, older[0])
         logging.warning("quarantine is full: the request with fingerprint %s is left out", chosen)
         self._clear(chosen)
@@ -206,9 +213,9 @@
 
     def _add(self, fingerprint: str, suspect: _Suspect, workers: Collection[str]) -> None:
         """Add workers that ended under a request; tells in the log when that condemns it."""
-        was_suspect = len(suspect.ended) < NUM_ENDS
+        was_suspect = len(suspect.ended) < QUARANTINE_CRASH_THRESHOLD
         suspect.ended.update(workers)
-        if was_suspect and len(suspect.ended) >= NUM_ENDS:
+        if was_suspect and len(suspect.ended) >= QUARANTINE_CRASH_THRESHOLD:
             logging.warning(
                 "request with fingerprint %s: quarantined for %.0f s, workers ended under it: %s",
                 fingerprint,
--- a/src/hollowrack/quarantine/sharing.py
+++ b/src/hollowrack/quarantine/replicator.py
@@ -23,21 +23,21 @@
     StoredItem,
 )
 from hollowrack.messages import codec
-from hollowrack.quarantine.register import SuspectRegister
+from hollowrack.quarantine.registry import SuspectRegistry
 from hollowrack.quarantine.types import SuspectChange, SuspectRecord
 from hollowrack.results import ResultCode
 from hollowrack.tasks import cancel_all
 
 # A look-up that lost its worker is answered by the next one within this time and costs no call.
 # All nodes must know of an end within three seconds; a watch brings a record in under one.
-GATHER_S = 0.25
-FIRST_RETRY_PAUSE_S = 0.3
-MAX_RETRY_PAUSE_S = 2.0
+BATCH_DELAY_S = 0.25
+INITIAL_BACKOFF_S = 0.3
+MAX_BACKOFF_S = 2.0
 # How often the leader looks for records whose time is over, in seconds.
-LOOK_S = 60.0
+EXPIRY_POLL_INTERVAL_S = 60.0
 
 
-class SuspectSharing:
+class SuspectReplicator:
     """Keeps one node's register and the store's records alike.
 
     Args:
@@ -52,7 +52,7 @@
         self,
         prefix: str,
         store: CoordinationStore,
-        register: SuspectRegister,
+        register: SuspectRegistry,
         leadership: Leadership,
         rng: random.Random,
     ) -> None:
@@ -60,7 +60,7 @@
         self._store = store
         self._register = register
         self._leadership = leadership
-        self._backoff = Backoff(FIRST_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S, rng)
+        self._backoff = Backoff(INITIAL_BACKOFF_S, MAX_BACKOFF_S, rng)
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -71,17 +71,17 @@
         """Stop telling."""
         await cancel_all(self._task)
 
-    def take(self, key: str, item: StoredItem | None) -> bool:
+    def apply_change(self, key: str, item: StoredItem | None) -> bool:
         """Take in a key that was written or removed; returns whether it is one of the records'."""
         if not key.startswith(self._prefix):
             return False
         fingerprint = unquote(key.removeprefix(self._prefix))
         if item is None:
-            self._register.take_removal(fingerprint)
+            self._register.remove_record(fingerprint)
             return True
         record = codec.decode(item.value).value_or(None)
         if isinstance(record, SuspectRecord):
-            self._register.take(fingerprint, record.ended_workers, item.revision)
+            self._register.update_from_record(fingerprint, record.ended_workers, item.revision)
         else:
             logging.error(
                 "[%d] record %s is no suspect and is left out: remove its key",
@@ -93,10 +93,10 @@
     async def _run(self) -> None:
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(LOOK_S):
+                async with asyncio.timeout(EXPIRY_POLL_INTERVAL_S):
                     await self._register.changed.wait()
             self._register.changed.clear()
-            await asyncio.sleep(GATHER_S)
+            await asyncio.sleep(BATCH_DELAY_S)
             await self._tell_all()
 
     async def _tell_all(self) -> None:
@@ -108,7 +108,7 @@
                 self._backoff.reset()
             else:
                 self._register.changed.set()
-                await asyncio.sleep(self._backoff.next_pause_s())
+                await asyncio.sleep(self._backoff.next_delay_s())
 
     async def _tell(self, change: SuspectChange) -> bool:
         """Write or remove one record, as it was last seen; returns whether it was answered."""
@@ -130,14 +130,14 @@
 
     def _take_written(self, change: SuspectChange, revision: int) -> None:
         if change.ended_workers:
-            self._register.take(change.fingerprint, change.ended_workers, revision)
+            self._register.update_from_record(change.fingerprint, change.ended_workers, revision)
         else:
-            self._register.take_removal(change.fingerprint)
+            self._register.remove_record(change.fingerprint)
 
     def _take_current(self, change: SuspectChange, conflict: Conflict) -> None:
         """Another node has told something meanwhile: what is still missing is told after it."""
         for item in conflict.current:
-            self.take(item.key, item)
+            self.apply_change(item.key, item)
         if not conflict.current and change.revision != ABSENT_REVISION:
-            self._register.take_removal(change.fingerprint)
+            self._register.remove_record(change.fingerprint)
         self._register.changed.set()
--- a/src/hollowrack/quarantine/types.py
+++ b/src/hollowrack/quarantine/types.py
@@ -11,22 +11,23 @@
     """The workers that ended while they ran one request.
 
     Attributes:
-        ended_workers: Their lives as texts; see :class:`hollowrack.forwarding.types.WorkerLife`.
+        ended_workers: Their lives as texts; see
+            :class:`hollowrack.forwarding.types.WorkerIncarnation`.
     """
 
     ended_workers: tuple[str, ...]
 
 
 @dataclass(frozen=True)
-class Verdict:
+class QuarantineState:
     """Why a request is not sent to workers.
 
     Attributes:
-        num_ended: How many workers ended under it.
+        num_crashes: How many workers ended under it.
         remaining_s: How long it stays so on this node, in seconds.
     """
 
-    num_ended: int
+    num_crashes: int
     remaining_s: float
 
 
--- a/src/hollowrack/replication/client.py
+++ b/src/hollowrack/replication/client.py
@@ -23,7 +23,7 @@
 
 FORWARD_TIMEOUT_S = 1.5
 LOOKUP_TIMEOUT_S = 0.5
-RETRY_PAUSE_S = 0.05
+RETRY_INTERVAL_S = 0.05
 MAX_PEERS_ASKED = 8
 NO_LEADER_RETRY_AFTER_S = 1.0
 
@@ -222,7 +222,7 @@
                 code = ResultCode.OUTCOME_UNKNOWN if may_have_run else ResultCode.NO_QUORUM
                 detail = f"no leader answered in time (last: {last})"
                 return Failure(Problem(code, detail, group, NO_LEADER_RETRY_AFTER_S))
-            await asyncio.sleep(RETRY_PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
             await self._refresh(group, found.unwrap())
 
     def _follow_hint(self, group: str, asked: str, problem: Problem) -> bool:
--- a/src/hollowrack/rollout/executor.py
+++ b/src/hollowrack/rollout/executor.py
@@ -37,7 +37,7 @@
 
 RESTATE_INTERVAL_S = 0.5
 RESTATE_MIN_PAUSE_S = 0.1
-RETRY_PAUSE_S = 0.1
+RETRY_INTERVAL_S = 0.1
 MAX_WAITS_FOR_ROOM = 100
 GENERATION_TIMEOUT_S = 600.0
 COMMIT_TIMEOUT_S = 10.0
@@ -153,7 +153,7 @@
         for _ in range(MAX_WAITS_FOR_ROOM):
             if isinstance(result, Success) or not _did_not_run(result.failure()):
                 break
-            await asyncio.sleep(RETRY_PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
             result = await self._context.runner.run(self._plan(assignment))
         return result
 
@@ -222,7 +222,7 @@
             if isinstance(decoded, Success):
                 return ResultCode(decoded.unwrap().code)
             code = decoded.failure().code
-            await asyncio.sleep(RETRY_PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         return code
 
     def _note_failure(self, assignment: Assignment, problem: Problem) -> None:
--- a/src/hollowrack/slots/holder.py
+++ b/src/hollowrack/slots/holder.py
@@ -7,33 +7,33 @@
 from absl import logging
 
 from hollowrack.clock import now_s
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
 from hollowrack.forwarding.workers import WorkerDirectory
 from hollowrack.results import Problem, ResultCode
-from hollowrack.slots.log_pace import LogPace
+from hollowrack.slots.log_interval_limiter import LogIntervalLimiter
 from hollowrack.slots.shares import equal_share
 from hollowrack.slots.types import (
-    MAX_LIVES,
+    MAX_INCARNATIONS,
     MAX_WORK,
     OpenWork,
     OpenWorkSource,
     SlotGrant,
     SlotReport,
-    grant_problem,
+    validate_grant,
 )
 
 # The first grant takes one message to the leader and its answer, and a leader that hears of a new
 # owner may refuse for half a second. Work that began before it would overfill workers whose slots
 # others have; without a leader it must not wait for long.
-FIRST_GRANT_WAIT_S = 0.6
+FIRST_GRANT_TIMEOUT_S = 0.6
 # A busy queue asks thousands of times a second; owners become known a few times a second at most.
-SHARES_KEPT_S = 0.1
+EQUAL_SHARE_TTL_S = 0.1
 # Until the next leader acts nobody grants what owners had last, so that they go on with it: equal
 # shares beside what runs already would overfill workers. A leader is there again within this time;
 # longer than that, shares must not stay as they were, as work changes.
-NO_ARBITER_S = 10.0
+EXPIRED_GRANT_GRACE_S = 10.0
 # Reports tell at least this often whether there is an arbiter.
-NO_ARBITER_FRESH_S = 1.5
+NO_ARBITER_TTL_S = 1.5
 # Shares change several times a second; one line a second, in seconds, keeps a day readable.
 SHARE_LOG_INTERVAL_S = 1.0
 
@@ -55,7 +55,7 @@
 
     fencing_token: int
     number: int
-    limits: dict[WorkerLife, int]
+    limits: dict[WorkerIncarnation, int]
     from_s: float
     ends_s: float
     is_contended: bool
@@ -79,13 +79,13 @@
     joined_s: float
     grant: _HeldGrant | None = None
     asked: SlotReport | None = None
-    asked_lives: tuple[WorkerLife, ...] = ()
+    asked_lives: tuple[WorkerIncarnation, ...] = ()
     asked_s: float = 0.0
     no_arbiter_s: float = -float("inf")
 
 
 @dataclass(frozen=True)
-class SlotUse:
+class SlotUsage:
     """How this node uses a service's slots, for figures.
 
     Attributes:
@@ -132,12 +132,12 @@
         self._numbers = itertools.count(1)
         self._newest_token = 0
         self._states: dict[str, _ServiceState] = {}
-        self._shares: dict[WorkerLife, int] = {}
+        self._shares: dict[WorkerIncarnation, int] = {}
         self._shares_until_s = -float("inf")
         self._granted_listeners: list[Callable[[], None]] = []
         self._urgent_listeners: list[Callable[[], None]] = []
-        self._shares_logged = LogPace(SHARE_LOG_INTERVAL_S)
-        self._refusals_logged = LogPace(SHARE_LOG_INTERVAL_S)
+        self._shares_logged = LogIntervalLimiter(SHARE_LOG_INTERVAL_S)
+        self._refusals_logged = LogIntervalLimiter(SHARE_LOG_INTERVAL_S)
         self._logged_shares: dict[str, tuple[int, bool]] = {}
         workers.on_end(self._note_end)
 
@@ -149,7 +149,7 @@
         """Call a listener when a report is due at once."""
         self._urgent_listeners.append(listener)
 
-    def note_waiting(self) -> None:
+    def notify_waiting(self) -> None:
         """Work has come that has no slot."""
         self._note_urgent()
 
@@ -158,7 +158,7 @@
         state = self._states.get(worker.service)
         if state is None or state.grant is None or not state.grant.has_waiting:
             return
-        limit = state.grant.limits.get(worker.life, 0)
+        limit = state.grant.limits.get(worker.incarnation, 0)
         is_surplus = self._workers.num_in_flight(worker) >= limit
         if is_surplus or not self._source.has_waiting(worker.service):
             self._note_urgent()
@@ -171,13 +171,13 @@
 
     def limit(self, worker: Worker) -> int:
         """Return how many requests this node may have in flight at a worker."""
-        if not self.takes_part(worker.service):
+        if not self.shares_slots_of(worker.service):
             return worker.capacity
-        granted = self.granted(worker)
+        granted = self.granted_limit(worker)
         if granted is not None:
             return granted
         state = self._state(worker.service)
-        if state.grant is None and now_s() < state.joined_s + FIRST_GRANT_WAIT_S:
+        if state.grant is None and now_s() < state.joined_s + FIRST_GRANT_TIMEOUT_S:
             return 0
         last = self._last_limit(state, worker)
         return self._equal_share(worker) if last is None else last
@@ -185,19 +185,19 @@
     def _last_limit(self, state: _ServiceState, worker: Worker) -> int | None:
         """The limit by the grant that has ended, if no arbiter can have granted since."""
         now = now_s()
-        if state.grant is None or now >= state.grant.ends_s + NO_ARBITER_S:
+        if state.grant is None or now >= state.grant.ends_s + EXPIRED_GRANT_GRACE_S:
             return None
-        if now >= state.no_arbiter_s + NO_ARBITER_FRESH_S:
+        if now >= state.no_arbiter_s + NO_ARBITER_TTL_S:
             return None
-        return state.grant.limits.get(worker.life)
+        return state.grant.limits.get(worker.incarnation)
 
-    def note_no_arbiter(self, service: str) -> None:
+    def record_no_arbiter(self, service: str) -> None:
         """No node grants slots now: none leads, or the one that does must wait until it may act."""
         state = self._states.get(service)
         if state is not None:
             state.no_arbiter_s = now_s()
 
-    def granted(self, worker: Worker) -> int | None:
+    def granted_limit(self, worker: Worker) -> int | None:
         """Return the limit by the grant in force.
 
         Returns:
@@ -207,9 +207,9 @@
         state = self._states.get(worker.service)
         if state is None or state.grant is None or now_s() >= state.grant.ends_s:
             return None
-        return state.grant.limits.get(worker.life, 0)
+        return state.grant.limits.get(worker.incarnation, 0)
 
-    def takes_part(self, service: str) -> bool:
+    def shares_slots_of(self, service: str) -> bool:
         """Whether this node spends slots of a service that are shared."""
         return self._source.num_running > 0 and self._is_shared(service)
 
@@ -217,8 +217,8 @@
         now = now_s()
         if now >= self._shares_until_s:
             self._shares.clear()
-            self._shares_until_s = now + SHARES_KEPT_S
-        life = worker.life
+            self._shares_until_s = now + EQUAL_SHARE_TTL_S
+        life = worker.incarnation
         if life not in self._shares:
             owners = self._known_owners()
             self._shares[life] = equal_share(str(life), worker.capacity, self._owner, owners)
@@ -248,8 +248,8 @@
     def report(self, service: str) -> SlotReport:
         """Return a report as of now; only its answer is accepted from now on."""
         state = self._state(service)
-        workers = self._workers.serving(service)[:MAX_LIVES]
-        lives = tuple(worker.life for worker in workers)
+        workers = self._workers.serving(service)[:MAX_INCARNATIONS]
+        lives = tuple(worker.incarnation for worker in workers)
         texts = tuple(str(life) for life in lives)
         positions = {text: index for index, text in enumerate(texts)}
         work = _most_urgent(self._source.open_work(service, positions))
@@ -281,9 +281,11 @@
         if grant is None or not grant.has_waiting:
             return
         limits = {
-            worker.life: min(grant.limits[worker.life], self._workers.num_in_flight(worker))
+            worker.incarnation: min(
+                grant.limits[worker.incarnation], self._workers.num_in_flight(worker)
+            )
             for worker in workers
-            if worker.life in grant.limits
+            if worker.incarnation in grant.limits
         }
         state.grant = replace(grant, limits={**grant.limits, **limits})
 
@@ -300,7 +302,7 @@
         state = self._states.get(grant.service)
         if state is None or state.asked is None:
             return self._refuse(grant, "no report of this node waits for it")
-        problem = grant_problem(grant, state.asked)
+        problem = validate_grant(grant, state.asked)
         if problem is not None:
             return self._refuse(grant, str(problem))
         if grant.fencing_token < self._newest_token:
@@ -334,7 +336,7 @@
 
     def _refuse(self, grant: SlotGrant, reason: str) -> bool:
         self.num_refused += 1
-        if self._refusals_logged.is_due(now_s()):
+        if self._refusals_logged.allow(now_s()):
             logging.warning(
                 "slots: grant %d of %.64s under token %d refused, %d so far: %s",
                 grant.number,
@@ -347,7 +349,7 @@
 
     def _log_share(self, service: str, grant: _HeldGrant, arbiter: str) -> None:
         share = (sum(grant.limits.values()), grant.is_contended)
-        if self._logged_shares.get(service) == share or not self._shares_logged.is_due(now_s()):
+        if self._logged_shares.get(service) == share or not self._shares_logged.allow(now_s()):
             return
         self._logged_shares[service] = share
         logging.info(
@@ -363,15 +365,15 @@
 
     # -- figures ----------------------------------------------------------------------------
 
-    def use(self, service: str) -> SlotUse:
+    def usage(self, service: str) -> SlotUsage:
         """Return how this node uses a service's slots."""
         used = sum(self._workers.num_in_flight(worker) for worker in self._workers.serving(service))
         state = self._states.get(service)
         grant = None if state is None else state.grant
         if grant is None or now_s() >= grant.ends_s:
-            return SlotUse(0, used, False, None)
+            return SlotUsage(0, used, False, None)
         age_s = now_s() - grant.from_s
-        return SlotUse(sum(grant.limits.values()), used, grant.is_contended, age_s)
+        return SlotUsage(sum(grant.limits.values()), used, grant.is_contended, age_s)
 
 
 def _most_urgent(works: Iterable[OpenWork]) -> tuple[OpenWork, ...]:
--- a/src/hollowrack/slots/log_pace.py
+++ b/src/hollowrack/slots/log_interval_limiter.py
@@ -1,7 +1,7 @@
 """Keeps a repeated log line from filling the log."""
 
 
-class LogPace:
+class LogIntervalLimiter:
     """Lets a line through once an interval.
 
     Args:
@@ -12,7 +12,7 @@
         self._interval_s = interval_s
         self._next_s = -float("inf")
 
-    def is_due(self, now_s: float) -> bool:
+    def allow(self, now_s: float) -> bool:
         """Return whether the line is to be written now; if so, it counts as written."""
         if now_s < self._next_s:
             return False
--- a/src/hollowrack/slots/plan.py
+++ b/src/hollowrack/slots/plan.py
@@ -13,7 +13,7 @@
 # share of what an equal division would give it.
 FLOOR_SHARE = 0.25
 # Where that is less than a slot: one item after the other still ends.
-MIN_FLOOR = 1
+MIN_FLOOR_SLOTS = 1
 
 
 @dataclass(frozen=True)
@@ -25,14 +25,14 @@
         due_in_s: Time until its results are due, in seconds; infinite if no time is stated.
         num_running: How many items run.
         num_waiting: How many items wait for a slot.
-        lives: Where they may run.
+        incarnations: Where they may run.
     """
 
     priority: int
     due_in_s: float
     num_running: int
     num_waiting: int
-    lives: Sequence[str]
+    incarnations: Sequence[str]
 
 
 @dataclass(frozen=True)
@@ -50,7 +50,7 @@
     work: Sequence[WorkDemand]
     held: Mapping[str, int] = field(default_factory=dict)
 
-    def kept(self) -> dict[str, int]:
+    def expected_in_flight(self) -> dict[str, int]:
         """Return what the owner will have in flight by the last grant, by life.
 
         What runs beyond that grant is about to end, and what waits is about to take the rest of it.
@@ -143,7 +143,7 @@
             self._keep_running,
             self._place_anew,
         )
-        self._kept = {name: owner.kept() for name, owner in owners.items()}
+        self._kept = {name: owner.expected_in_flight() for name, owner in owners.items()}
         for kept in self._kept.values():
             for life, count in kept.items():
                 if life in self._free:
@@ -178,8 +178,8 @@
         if not names:
             return
         equal_division = sum(self._capacity.values()) / len(names)
-        left = dict.fromkeys(names, max(MIN_FLOOR, int(FLOOR_SHARE * equal_division)))
-        ordered = sorted(demands, key=lambda demand: len(demand.demand.lives))
+        left = dict.fromkeys(names, max(MIN_FLOOR_SLOTS, int(FLOOR_SHARE * equal_division)))
+        ordered = sorted(demands, key=lambda demand: len(demand.demand.incarnations))
         for place in self._steps:
             for demand in ordered:
                 left[demand.owner] -= place(demand, left[demand.owner])
@@ -198,22 +198,24 @@
     def _keep_running_in_held(self, demand: _OpenDemand, max_items: int) -> int:
         """Plan slots that the owner holds for what runs there."""
         owner = self._owners[demand.owner]
-        lives = [life for life in demand.demand.lives if owner.held.get(life, 0) > 0]
+        lives = [life for life in demand.demand.incarnations if owner.held.get(life, 0) > 0]
         counts = {life: min(owner.held[life], owner.in_flight.get(life, 0)) for life in lives}
         return self._keep(demand, counts, min(max_items, demand.num_running))
 
     def _keep_held(self, demand: _OpenDemand, max_items: int) -> int:
         """Plan slots that the owner holds, those at the emptiest workers first."""
         held = self._owners[demand.owner].held
-        lives = [life for life in demand.demand.lives if held.get(life, 0) > 0]
+        lives = [life for life in demand.demand.incarnations if held.get(life, 0) > 0]
         lives.sort(key=lambda life: -self._free.get(life, 0))
         return self._keep(demand, {life: held[life] for life in lives}, max_items)
 
     def _keep_running(self, demand: _OpenDemand, max_items: int) -> int:
         """Plan slots for what runs: first where new items could run as well."""
         in_flight = self._owners[demand.owner].in_flight
-        elsewhere = sorted(in_flight.keys() - set(demand.demand.lives))
-        counts = {life: in_flight.get(life, 0) for life in [*demand.demand.lives, *elsewhere]}
+        elsewhere = sorted(in_flight.keys() - set(demand.demand.incarnations))
+        counts = {
+            life: in_flight.get(life, 0) for life in [*demand.demand.incarnations, *elsewhere]
+        }
         return self._keep(demand, counts, min(max_items, demand.num_running))
 
     def _keep(self, demand: _OpenDemand, counts: Mapping[str, int], max_items: int) -> int:
@@ -239,7 +241,7 @@
             return 0
         heap = [
             (-self._free[life], -self._room[life], position, life)
-            for position, life in enumerate(demand.demand.lives)
+            for position, life in enumerate(demand.demand.incarnations)
             if self._room.get(life, 0) > 0
         ]
         heapq.heapify(heap)
--- a/src/hollowrack/slots/reporter.py
+++ b/src/hollowrack/slots/reporter.py
@@ -10,18 +10,18 @@
 from hollowrack.results import ResultCode
 from hollowrack.slots.arbiter import SlotArbiter
 from hollowrack.slots.holder import SlotHolder
-from hollowrack.slots.log_pace import LogPace
+from hollowrack.slots.log_interval_limiter import LogIntervalLimiter
 from hollowrack.slots.types import SlotAnswer, SlotGrant, SlotPeers, SlotRefusal, SlotReport
 from hollowrack.tasks import cancel_all
 
 # A slot that another owner has freed stands idle until the next report of the one it is meant for.
-OWED_INTERVAL_S = 0.1
+OWED_REPORT_INTERVAL_S = 0.1
 # Slots that one owner does not need reach one whose work has just come within two reports.
-MOVING_INTERVAL_S = 0.2
+ACTIVE_REPORT_INTERVAL_S = 0.2
 # Otherwise a report only renews the grant, which lasts three times as long.
-QUIET_INTERVAL_S = 1.0
+IDLE_REPORT_INTERVAL_S = 1.0
 # Items of a job come one by one: those that come together are reported together.
-MIN_INTERVAL_S = 0.05
+MIN_REPORT_INTERVAL_S = 0.05
 # A tick this much early, in seconds, counts as on time: the loop wakes at ticks, not at due times.
 TICK_TOLERANCE_S = 0.02
 # An outage fails every report; one line a second, in seconds, tells how long it lasts.
@@ -60,7 +60,7 @@
         self._peers = peers
         self._is_urgent = asyncio.Event()
         self._last_s: dict[str, float] = {}
-        self._failures_logged = LogPace(FAILURE_LOG_INTERVAL_S)
+        self._failures_logged = LogIntervalLimiter(FAILURE_LOG_INTERVAL_S)
         self._task: asyncio.Task[None] | None = None
         holder.on_urgent(self._is_urgent.set)
 
@@ -83,13 +83,13 @@
             is_urgent = self._is_urgent.is_set()
             self._is_urgent.clear()
             try:
-                self._arbiter.note_leadership(now_s())
+                self._arbiter.update_leadership(now_s())
                 await self._report_all(is_urgent)
             except Exception:
                 logging.exception("slots: a fault of the program, goes on")
-            await asyncio.sleep(MIN_INTERVAL_S)
+            await asyncio.sleep(MIN_REPORT_INTERVAL_S)
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(OWED_INTERVAL_S - MIN_INTERVAL_S):
+                async with asyncio.timeout(OWED_REPORT_INTERVAL_S - MIN_REPORT_INTERVAL_S):
                     await self._is_urgent.wait()
 
     async def _report_all(self, is_urgent: bool) -> None:
@@ -101,7 +101,7 @@
         await asyncio.gather(*(self._send(report) for report in reports))
 
     def _due_report(self, service: str, is_urgent: bool) -> SlotReport | None:
-        if not self._holder.takes_part(service):
+        if not self._holder.shares_slots_of(service):
             self._last_s.pop(service, None)
             return self._holder.leave(service)
         due_s = self._last_s.get(service, -float("inf")) + self._interval_s(service)
@@ -114,20 +114,20 @@
     def _interval_s(self, service: str) -> float:
         """How long after a report the next one is due, in seconds."""
         if self._holder.is_owed_slots(service):
-            return OWED_INTERVAL_S
+            return OWED_REPORT_INTERVAL_S
         if self._holder.may_move_slots(service):
-            return MOVING_INTERVAL_S
-        return QUIET_INTERVAL_S
+            return ACTIVE_REPORT_INTERVAL_S
+        return IDLE_REPORT_INTERVAL_S
 
     async def _send(self, report: SlotReport) -> None:
         answer = await self._ask(report)
         if report.is_leaving:
             return
         if self._leader() is None or _is_without_arbiter(answer):
-            self._holder.note_no_arbiter(report.service)
+            self._holder.record_no_arbiter(report.service)
         if isinstance(answer, SlotGrant):
             self._holder.accept(answer)
-        elif self._failures_logged.is_due(now_s()):
+        elif self._failures_logged.allow(now_s()):
             reason = "no answer" if answer is None else f"[{answer.code}] {answer.detail}"
             logging.info(
                 "slots of %s: report %d to %s brought no grant: %s",
--- a/src/hollowrack/slots/sharing.py
+++ b/src/hollowrack/slots/slot_sharing.py
@@ -59,7 +59,7 @@
                 peers,
             )
             queue.limits = self.holder
-            self.holder.on_granted(queue.look_again)
+            self.holder.on_granted(queue.schedule_dispatch)
 
     def start(self) -> None:
         """Start sharing."""
@@ -92,4 +92,6 @@
     def _capacity(self, service: str) -> dict[str, int]:
         if not self._is_shared(service):
             return {}
-        return {str(worker.life): worker.capacity for worker in self._workers.serving(service)}
+        return {
+            str(worker.incarnation): worker.capacity for worker in self._workers.serving(service)
+        }
--- a/src/hollowrack/slots/types.py
+++ b/src/hollowrack/slots/types.py
@@ -10,7 +10,7 @@
 
 # Above what the largest fleet needs; whatever exceeds them comes from a fault, and would cost the
 # arbiter memory and time.
-MAX_LIVES = 4_096
+MAX_INCARNATIONS = 4_096
 MAX_WORK = 512
 MAX_COUNT = 100_000
 MAX_DUE_S = 1e9
@@ -135,21 +135,21 @@
     def has_waiting(self, service: str) -> bool:
         """Whether any item waits for a slot at a service."""
 
-    def open_work(self, service: str, lives: Mapping[str, int]) -> list[OpenWork]:
+    def open_work(self, service: str, incarnation_positions: Mapping[str, int]) -> list[OpenWork]:
         """Return the work at a service.
 
         Args:
             service: The service.
-            lives: Position of each life by its text.
+            incarnation_positions: Position of each life by its text.
         """
 
 
-def report_problem(report: SlotReport) -> Problem | None:
+def validate_report(report: SlotReport) -> Problem | None:
     """Return what is wrong with a report; ``None`` if it may be used."""
     return next(_report_faults(report), None)
 
 
-def grant_problem(grant: SlotGrant, report: SlotReport) -> Problem | None:
+def validate_grant(grant: SlotGrant, report: SlotReport) -> Problem | None:
     """Return what is wrong with a grant; ``None`` if it may be used.
 
     Args:
@@ -172,7 +172,7 @@
 def _report_faults(report: SlotReport) -> Iterator[Problem]:
     if not 0 < len(report.owner) <= MAX_NAME_LENGTH:
         yield _invalid("the name is empty or too long", "owner")
-    if len(report.lives) > MAX_LIVES or len(set(report.lives)) != len(report.lives):
+    if len(report.lives) > MAX_INCARNATIONS or len(set(report.lives)) != len(report.lives):
         yield _invalid("lives are too many, or one is named twice", "lives")
     if any(len(life) > MAX_NAME_LENGTH for life in report.lives):
         yield _invalid("a name is too long", "lives")
--- a/src/hollowrack/suspension.py
+++ b/src/hollowrack/suspension.py
@@ -16,7 +16,7 @@
 from hollowrack.tasks import cancel_all
 
 # How often the two clocks are compared, in seconds.
-LOOK_S = 0.5
+POLL_INTERVAL_S = 0.5
 # Both clocks are read within microseconds of each other; a suspension takes far longer.
 MIN_SUSPENSION_S = 0.1
 
@@ -61,7 +61,7 @@
         return runner.run(main)
 
 
-class SuspensionWatch:
+class SuspensionMonitor:
     """Tells how long the machine was suspended.
 
     Args:
@@ -92,7 +92,7 @@
     async def _run(self) -> None:
         known_s = self._distance_s()
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             suspended_s = self._distance_s() - known_s
             known_s += suspended_s
             if suspended_s >= MIN_SUSPENSION_S:
--- a/src/hollowrack/usage/meter.py
+++ b/src/hollowrack/usage/meter.py
@@ -32,7 +32,7 @@
         """Return the time of day at which a request goes to a worker, in seconds since 1970."""
         return self._clock.time_s()
 
-    def note_begun(self, tenant: str | None, begun_s: float) -> None:
+    def record_request(self, tenant: str | None, begun_s: float) -> None:
         """A worker has begun a request.
 
         Args:
--- a/src/hollowrack/usage/spreader.py
+++ b/src/hollowrack/usage/replicator.py
@@ -14,13 +14,13 @@
 from hollowrack.usage.types import PushedCounts, UsagePeers
 
 # Requests that begin close together leave by one message.
-GATHER_S = 0.2
+BATCH_INTERVAL_S = 0.2
 # A new leader is seen by the node within this time after its entry.
-LOOK_S = 0.5
-RETRY_PAUSE_S = 0.5
+POLL_INTERVAL_S = 0.5
+RETRY_INTERVAL_S = 0.5
 
 
-class UsageSpreader:
+class UsageReplicator:
     """Keeps a few other nodes informed.
 
     Args:
@@ -67,9 +67,9 @@
     async def _run(self) -> None:
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(LOOK_S):
+                async with asyncio.timeout(POLL_INTERVAL_S):
                     await self._meter.changed.wait()
-                    await asyncio.sleep(GATHER_S)
+                    await asyncio.sleep(BATCH_INTERVAL_S)
             self._meter.changed.clear()
             await self._inform()
 
@@ -96,6 +96,6 @@
         counts = self._counts.all() if is_new else (self._counts.of(self._process),)
         counts = tuple(one for one in counts if one.windows)
         if counts and not await self._peers.push(address, PushedCounts(counts)):
-            self._retry_from_s[process] = now_s() + RETRY_PAUSE_S
+            self._retry_from_s[process] = now_s() + RETRY_INTERVAL_S
             return
         self._num_told[process] = num_counted
--- a/src/hollowrack/usage/reporter.py
+++ b/src/hollowrack/usage/reporter.py
@@ -12,19 +12,19 @@
 from hollowrack.clock import now_s
 from hollowrack.coordination.duty import DutyHolder, DutyOutcome
 from hollowrack.coordination.leadership import Leadership
+from hollowrack.coordination.leadership_term import LeadershipTerm
 from hollowrack.coordination.record import Record
 from hollowrack.coordination.store import CoordinationStore, StoredItem
-from hollowrack.coordination.tenure import Tenure
 from hollowrack.tasks import cancel_all
 from hollowrack.usage.meter import UsageMeter
 from hollowrack.usage.types import DecidedUsage, UsageClient, WindowReport
 
-LOOK_S = 0.25
+POLL_INTERVAL_S = 0.25
 # What a process counts is at the leader within a second; a node that was cut off needs longer.
 SETTLE_S = 2.5
 # Nodes see a new leader within two looks at the feed, and hand it what they hold.
 NEW_LEADER_WAIT_S = 1.5
-RETRY_PAUSE_S = 0.5
+RETRY_INTERVAL_S = 0.5
 # Reports that are this much older than the newest one are of no use to anybody.
 MAX_KEPT_REPORTS = 8
 
@@ -59,7 +59,7 @@
         self._window_s = window_s
         self._client = client
         self._record = Record(store, key, DecidedUsage, self._forget_decided)
-        self._tenure = Tenure(leadership)
+        self._tenure = LeadershipTerm(leadership)
         # The window in which this node began to lead.
         self._led_from_window = 0
         self._delivered: set[int] = set()
@@ -74,19 +74,19 @@
         """Stop reporting."""
         await cancel_all(self._task)
 
-    def take(self, item: StoredItem | None) -> None:
+    def update_decided(self, item: StoredItem | None) -> None:
         """Take in the decided windows as a mirror shows them."""
-        self._record.take(item)
+        self._record.update(item)
 
     def _forget_decided(self, decided: DecidedUsage) -> None:
         self._counts.forget_before(decided.next_window)
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             if not self._leadership.may_act:
                 continue
-            if self._tenure.note():
+            if self._tenure.update():
                 self._led_from_window = int(self._time_s() // self._window_s)
                 self._delivered.clear()
             if self._tenure.age_s >= NEW_LEADER_WAIT_S:
@@ -95,7 +95,7 @@
 
     async def _decide_next(self) -> None:
         """Decide the oldest window that is open, if it has ended long enough ago."""
-        if not await self._record.is_known():
+        if not await self._record.ensure_current():
             return
         decided = self._record.value or DecidedUsage(self._first_window())
         window = decided.next_window
@@ -132,6 +132,6 @@
             outcome = await self._client.report_usage(DutyHolder(self._node, token), report)
             logging.info("usage of window %d: %s", report.window, outcome.value)
             if outcome is not DutyOutcome.ACCEPTED:
-                self._retry_from_s = now_s() + RETRY_PAUSE_S
+                self._retry_from_s = now_s() + RETRY_INTERVAL_S
                 return
             self._delivered.add(report.window)
--- a/src/hollowrack/weights/plan.py
+++ b/src/hollowrack/weights/plan.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from math import ceil
 
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
 
 # Each model is kept current on at least this many workers, so that one may fail.
 MIN_WORKERS_PER_MODEL = 2
@@ -13,7 +13,7 @@
 # Loads slow each other down beyond a number that grows with the workers: about two in five.
 CONCURRENT_LOADS_SHARE = 0.4
 # Loads that one place for a load does between two versions: a second each, versions 4 s apart.
-NUM_LOADS_IN_TURN = 4
+LOADS_PER_SLOT = 4
 # Where models share workers, this share of the loads that fit: some fail and are done again.
 SHARED_LOADS_SHARE = 0.75
 # For each so many holders of a model one more may stay that is not planned.
@@ -22,7 +22,7 @@
 NUM_STEPS_SERVED = 2
 
 # Version by life of a worker and model.
-HeldVersions = Mapping[tuple[WorkerLife, str], int]
+HeldVersions = Mapping[tuple[WorkerIncarnation, str], int]
 
 
 @dataclass(frozen=True)
@@ -60,7 +60,7 @@
 def max_loads_per_version(num_workers: int) -> int:
     """Return how many loads fit between two versions, over all models."""
     num_places = max(MIN_CONCURRENT_LOADS, CONCURRENT_LOADS_SHARE * num_workers)
-    return int(NUM_LOADS_IN_TURN * num_places)
+    return int(LOADS_PER_SLOT * num_places)
 
 
 def plan_loads(
@@ -88,47 +88,51 @@
     names: Sequence[str], workers: Sequence[Worker], held_versions: HeldVersions, share: int
 ) -> dict[str, tuple[Worker, ...]]:
     max_models = ceil(share * len(names) / len(workers))
-    num_models: Counter[WorkerLife] = Counter()
+    num_models: Counter[WorkerIncarnation] = Counter()
     assigned: dict[str, list[Worker]] = {}
     # Those that hold a model already are counted for all models before any gap is filled.
     for name in names:
         incumbents = _incumbents(name, workers, held_versions)
         # A few more than planned, so that the loss of a worker does not move models elsewhere.
         assigned[name] = incumbents[: share + share // INCUMBENTS_PER_SPARE]
-        num_models.update(worker.life for worker in assigned[name])
+        num_models.update(worker.incarnation for worker in assigned[name])
     for name in names:
         others = [worker for worker in workers if worker not in assigned[name]]
         while len(assigned[name]) < share:
             best = min(
                 others,
                 key=lambda worker: (
-                    num_models[worker.life] >= max_models,
-                    num_models[worker.life],
-                    worker.life,
+                    num_models[worker.incarnation] >= max_models,
+                    num_models[worker.incarnation],
+                    worker.incarnation,
                 ),
             )
             others.remove(best)
             assigned[name].append(best)
-            num_models[best.life] += 1
+            num_models[best.incarnation] += 1
     return {name: tuple(holders) for name, holders in assigned.items()}
 
 
 def _incumbents(model: str, workers: Sequence[Worker], held_versions: HeldVersions) -> list[Worker]:
     """Workers that were kept current for a model, newest version first; none at the beginning."""
-    versions = {worker.life: held_versions.get((worker.life, model), 0) for worker in workers}
+    versions = {
+        worker.incarnation: held_versions.get((worker.incarnation, model), 0) for worker in workers
+    }
     newest = max(versions.values())
     if newest == min(versions.values()):
         return []
-    current = [worker for worker in workers if versions[worker.life] > newest - NUM_STEPS_SERVED]
-    return sorted(current, key=lambda worker: (-versions[worker.life], worker.life))
+    current = [
+        worker for worker in workers if versions[worker.incarnation] > newest - NUM_STEPS_SERVED
+    ]
+    return sorted(current, key=lambda worker: (-versions[worker.incarnation], worker.incarnation))
 
 
 def next_moves(
     named_versions: Mapping[str, int],
-    ripe_models: Collection[str],
+    ready_models: Collection[str],
     plan: LoadPlan,
     held_versions: HeldVersions,
-    loading: Mapping[WorkerLife, str],
+    loading: Mapping[WorkerIncarnation, str],
     max_concurrent: int = MIN_CONCURRENT_LOADS,
 ) -> list[VersionMove]:
     """Return the moves to start now.
@@ -139,7 +143,7 @@
 
     Args:
         named_versions: Newest version named of each model.
-        ripe_models: Models whose current workers may be moved on.
+        ready_models: Models whose current workers may be moved on.
         plan: Where models are kept.
         held_versions: Versions as far as known.
         loading: The model that each worker is loading, by its life.
@@ -153,17 +157,17 @@
             break
         num_holders = len(plan.holders[model])
         num_ahead = loaded_by_model[model] + sum(
-            held_versions.get((holder.life, model), 0) >= named_versions[model]
+            held_versions.get((holder.incarnation, model), 0) >= named_versions[model]
             for holder in plan.holders[model]
         )
         may_move = not is_useful or (
-            model in ripe_models
+            model in ready_models
             and loaded_by_model[model] < max(1, num_holders // 2)
             and num_ahead < plan.num_wanted(model)
         )
-        if worker.life in taken or not may_move:
+        if worker.incarnation in taken or not may_move:
             continue
-        taken.add(worker.life)
+        taken.add(worker.incarnation)
         loaded_by_model[model] += 1
         moves.append(VersionMove(worker, model, named_versions[model]))
     return moves
@@ -175,14 +179,16 @@
     held_versions: HeldVersions,
 ) -> list[tuple[bool, str, Worker]]:
     """Workers behind, as (still useful, model, worker): useless ones and bare models first."""
-    entries: list[tuple[tuple[bool, int, str, WorkerLife], tuple[bool, str, Worker]]] = []
+    entries: list[tuple[tuple[bool, int, str, WorkerIncarnation], tuple[bool, str, Worker]]] = []
     for model, version in named_versions.items():
-        versions = [held_versions.get((worker.life, model), 0) for worker in holders.get(model, ())]
+        versions = [
+            held_versions.get((worker.incarnation, model), 0) for worker in holders.get(model, ())
+        ]
         num_useful = sum(held >= version - 1 for held in versions)
         for worker, held in zip(holders.get(model, ()), versions, strict=True):
             if held < version:
                 is_useful = held >= version - 1
-                order = (is_useful, num_useful, model, worker.life)
+                order = (is_useful, num_useful, model, worker.incarnation)
                 entries.append((order, (is_useful, model, worker)))
     entries.sort(key=lambda entry: entry[0])
     return [entry for _, entry in entries]
--- a/src/hollowrack/weights/order_giver.py
+++ b/src/hollowrack/weights/version_reconciler.py
@@ -18,7 +18,7 @@
 
 from hollowrack.clock import now_s
 from hollowrack.coordination.leadership import Leadership
-from hollowrack.forwarding.types import Service, Worker, WorkerLife
+from hollowrack.forwarding.types import Service, Worker, WorkerIncarnation
 from hollowrack.forwarding.workers import WorkerDirectory
 from hollowrack.tasks import cancel_all
 from hollowrack.weights.plan import (
@@ -28,23 +28,23 @@
     plan_loads,
 )
 
-LOOK_S = 0.1
+POLL_INTERVAL_S = 0.1
 LOAD_DELAY_S = 0.8
 # Reports are read again and again from shortly before a load should be over.
 FIRST_LOAD_TIME_S = 0.9
 LOAD_TIME_SHARE = 0.9
 UNSEEN_LOAD_SHARE = 0.7
 NUM_LOAD_TIMES_KEPT = 16
-REPORT_POLL_S = 0.1
+REPORT_POLL_INTERVAL_S = 0.1
 MAX_REPORT_POLLS = 100
-FAILURE_PAUSE_S = 0.4
+RETRY_INTERVAL_S = 0.4
 
 
 class OrderOutcome(Enum):
     """What a worker says to an order."""
 
     ACCEPTED = "being done"
-    HOLDS_ALREADY = "holds already"
+    ALREADY_LOADED = "holds already"
     REFUSED = "refused"
     UNKNOWN = "no answer"
 
@@ -65,7 +65,7 @@
     model_versions: Mapping[str, int]
     started_ms: int = 0
 
-    def may_be_of(self, life: WorkerLife) -> bool:
+    def could_be_from(self, life: WorkerIncarnation) -> bool:
         """Whether a life may have made this report: a start that is not told excludes none."""
         is_told = self.started_ms > 0 and life.started_ms > 0
         return not is_told or self.started_ms == life.started_ms
@@ -94,11 +94,11 @@
     async def report(self, worker: Worker) -> WorkerReport | None:
         """Read a worker's report; ``None`` if it does not answer."""
 
-    async def give(self, order: VersionOrder) -> OrderOutcome:
+    async def send_order(self, order: VersionOrder) -> OrderOutcome:
         """Give an order."""
 
 
-class OrderGiver:
+class VersionReconciler:
     """Reconciles the workers' versions with the named ones.
 
     Args:
@@ -125,9 +125,9 @@
         self._services = services
         self._named_versions = named_versions
         self._client = client
-        self._confirmed: dict[tuple[WorkerLife, str], int] = {}
-        self._moves: dict[WorkerLife, asyncio.Task[None]] = {}
-        self._loading: dict[WorkerLife, str] = {}
+        self._confirmed: dict[tuple[WorkerIncarnation, str], int] = {}
+        self._moves: dict[WorkerIncarnation, asyncio.Task[None]] = {}
+        self._loading: dict[WorkerIncarnation, str] = {}
         self._load_times_s: deque[float] = deque(maxlen=NUM_LOAD_TIMES_KEPT)
         self._has_ended = asyncio.Event()
         self._ripe_from_s: dict[tuple[str, int], float] = {}
@@ -151,7 +151,7 @@
         """Wait a moment, or until a move has ended: the next one may begin at once."""
         self._has_ended.clear()
         try:
-            async with asyncio.timeout(LOOK_S):
+            async with asyncio.timeout(POLL_INTERVAL_S):
                 await self._has_ended.wait()
         except TimeoutError:
             return
@@ -175,9 +175,9 @@
 
     def _start_move(self, move: VersionMove) -> None:
         task = asyncio.create_task(self._carry_out(move))
-        self._moves[move.worker.life] = task
-        self._loading[move.worker.life] = move.model
-        task.add_done_callback(partial(self._forget, move.worker.life))
+        self._moves[move.worker.incarnation] = task
+        self._loading[move.worker.incarnation] = move.model
+        task.add_done_callback(partial(self._forget, move.worker.incarnation))
 
     def _is_ripe(self, model: str) -> bool:
         """Whether the newest version was named some time ago.
@@ -188,7 +188,7 @@
         key = (model, self._named_versions[model])
         return now_s() >= self._ripe_from_s.setdefault(key, now_s() + LOAD_DELAY_S)
 
-    def _forget(self, life: WorkerLife, _: asyncio.Task[None]) -> None:
+    def _forget(self, life: WorkerIncarnation, _: asyncio.Task[None]) -> None:
         self._moves.pop(life, None)
         self._loading.pop(life, None)
         self._has_ended.set()
@@ -201,12 +201,12 @@
                 self._moves.pop(life).cancel()
                 self._loading.pop(life, None)
         for life, model in list(self._confirmed):
-            if not self._workers.knows(life):
+            if not self._workers.is_current(life):
                 del self._confirmed[life, model]
 
-    def _has_started_again(self, life: WorkerLife) -> bool:
+    def _has_started_again(self, life: WorkerIncarnation) -> bool:
         known = self._workers.get(life.worker_id)
-        return known is not None and known.life != life
+        return known is not None and known.incarnation != life
 
     def _confirm_entries(self) -> None:
         """Take in what entries tell: within one life versions only rise, so less is old."""
@@ -216,30 +216,30 @@
     async def _carry_out(self, move: VersionMove) -> None:
         report = await self._report(move.worker)
         if report is None:
-            await asyncio.sleep(FAILURE_PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
             return
         if report.is_busy:
-            await asyncio.sleep(REPORT_POLL_S)
+            await asyncio.sleep(REPORT_POLL_INTERVAL_S)
             return
         if report.model_versions.get(move.model, 0) >= move.version:
             return
         outcome = await self._give(move, report.num_orders)
         if outcome is OrderOutcome.ACCEPTED:
             await self._wait_until_loaded(move)
-        elif outcome is OrderOutcome.HOLDS_ALREADY:
+        elif outcome is OrderOutcome.ALREADY_LOADED:
             self._confirm(move.worker, move.model, move.version)
         else:
-            await asyncio.sleep(FAILURE_PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def _give(self, move: VersionMove, num_orders: int) -> OrderOutcome:
         token = self._leadership.fencing_token
         if token is None or not self._leadership.may_act:
             return OrderOutcome.REFUSED
         order = VersionOrder(move, self._node, token, num_orders)
-        outcome = await self._client.give(order)
+        outcome = await self._client.send_order(order)
         logging.info(
             "order to worker %s: %s version %d: %s",
-            move.worker.life,
+            move.worker.incarnation,
             move.model,
             move.version,
             outcome.value,
@@ -263,17 +263,17 @@
                 share = 1.0 if num_polls else UNSEEN_LOAD_SHARE
                 self._load_times_s.append(share * (now_s() - given_s))
                 return
-            await asyncio.sleep(REPORT_POLL_S)
+            await asyncio.sleep(REPORT_POLL_INTERVAL_S)
 
     async def _report(self, worker: Worker) -> WorkerReport | None:
         """Read and note a worker's report; ``None`` if it does not answer, or in another life."""
         report = await self._client.report(worker)
         if report is None:
             return None
-        if not report.may_be_of(worker.life):
+        if not report.could_be_from(worker.incarnation):
             logging.info(
                 "worker %s: its report counts for nothing, it is of a start at %d",
-                worker.life,
+                worker.incarnation,
                 report.started_ms,
             )
             return None
@@ -285,5 +285,5 @@
             self._confirm(worker, model, version)
 
     def _confirm(self, worker: Worker, model: str, version: int) -> None:
-        key = (worker.life, model)
+        key = (worker.incarnation, model)
         self._confirmed[key] = max(version, self._confirmed.get(key, 0))
--- a/src/hollowrack_bench/soak_report.py
+++ b/src/hollowrack_bench/soak_report.py
@@ -2,7 +2,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from hollowrack.observability.log_search import account_of
+from hollowrack.observability.log_search import search_logs
 from hollowrack_bench.live_load import latency_histogram
 from hollowrack_bench.platform_demo import PlatformDemoOutcome
 
@@ -42,7 +42,7 @@
     """
     for entry in outcome.broken:
         subject = entry.partition(":")[0]
-        account = account_of(subject, log_lines)
+        account = search_logs(subject, log_lines)
         told = sorted({*account.about, *account.context}, key=lambda line: line.time)
         outcome.evidence[entry] = [
             f"{line.time} {line.node} {line.message}" for line in told[-MAX_EVIDENCE_LINES:]
--- a/src/hollowrack_bench/soak_worker_faults.py
+++ b/src/hollowrack_bench/soak_worker_faults.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Awaitable, Callable
 
-from hollowrack.forwarding.types import WorkerLife
+from hollowrack.forwarding.types import WorkerIncarnation
 from hollowrack.platform import names
 from hollowrack_bench.platform_demo import MODEL
 from hollowrack_standins.users_platform import (
@@ -18,7 +18,7 @@
 MAX_SLOW_S = 1.2
 DEEP_NESTING = 20_000
 # Workers that start again may hold any older weights; the oldest are furthest behind.
-FIRST_VERSION = 1
+MIN_NAMED_VERSION = 1
 NUM_FOREIGN_KEYS = 5
 
 Pause = Callable[[], Awaitable[None]]
@@ -46,7 +46,7 @@
         pause: Pause,
     ) -> None:
         self.decoy = PlatformWorkerStandin("decoy", "engines", WorkerLedger(), MODEL)
-        self.restarted: list[WorkerLife] = []
+        self.restarted: list[WorkerIncarnation] = []
         self._workers = workers
         self._store = store
         self._rng = rng
@@ -73,10 +73,10 @@
             self._write_entry(worker)
 
     async def _return(self, worker: PlatformWorkerStandin) -> None:
-        worker.start_again(FIRST_VERSION)
+        worker.start_again(MIN_NAMED_VERSION)
         await worker.server.start()
         self._away.discard(worker.id)
-        self.restarted.append(WorkerLife(worker.id, worker.started_ms))
+        self.restarted.append(WorkerIncarnation(worker.id, worker.started_ms))
 
     async def slow_down(self) -> None:
         """Have a worker take longer, or turn requests away, for a while."""
--- a/src/hollowrack_standins/back_ends.py
+++ b/src/hollowrack_standins/back_ends.py
@@ -16,7 +16,7 @@
     NotRunError,
     NotRunReason,
 )
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
 
 SILENCE_S = 1_000_000.0
 CRASH_AFTER_S = 0.06
@@ -86,7 +86,7 @@
     on_end: Callable[[Worker], None] = lambda _: None
     work_factors: dict[bytes, float] = field(default_factory=dict)
     num_cut: int = 0
-    _ended: dict[WorkerLife, asyncio.Event] = field(default_factory=dict)
+    _ended: dict[WorkerIncarnation, asyncio.Event] = field(default_factory=dict)
     _restarted: dict[str, Worker] = field(default_factory=dict)
     _slots: dict[str, asyncio.Semaphore] = field(default_factory=dict)
 
@@ -181,7 +181,7 @@
         return self._slots.setdefault(worker_id, asyncio.Semaphore(behaviour.num_slots))
 
     def _end_of(self, worker: Worker) -> asyncio.Event:
-        return self._ended.setdefault(worker.life, asyncio.Event())
+        return self._ended.setdefault(worker.incarnation, asyncio.Event())
 
 
 @dataclass(frozen=True)
--- a/tests/jobs/test_peer_answers.py
+++ b/tests/jobs/test_peer_answers.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hollowrack.jobs.peers import SUBMIT_PATH, HttpPeerJobs, SubmitAnswer
+from hollowrack.jobs.peer_jobs import SUBMIT_PATH, HttpPeerJobs, SubmitAnswer
 from hollowrack.jobs.types import Job
 from hollowrack.messages.node_http import question_route
 from hollowrack.platform.http_session import client_session
