--- a/tests/slots/test_peers.py
+++ b/tests/slots/test_peers.py
@@ -6,7 +6,7 @@
 from starlette.applications import Starlette
 
 from hollowrack.api.server import HttpServer
-from hollowrack.slots.peers import SLOTS_PATH, HttpSlotPeers, slot_routes
+from hollowrack.slots.peer_http import SLOTS_PATH, HttpSlotPeers, slot_routes
 from hollowrack.slots.types import OpenWork, SlotAnswer, SlotGrant, SlotRefusal, SlotReport
 
 WORK = OpenWork(1, None, 1, 2, (0,))
