--- a/src/hollowrack/backoff.py
+++ b/src/hollowrack/backoff.py
@@ -25,7 +25,7 @@
         """Start again with the first delay, after a successful attempt."""
         self._next_s = self._first_s
 
-    def next_pause_s(self) -> float:
+    def next_delay_s(self) -> float:
         """Return the delay after another failed attempt, in seconds."""
         delay_s = self._next_s
         self._next_s = min(self._max_s, GROWTH * delay_s)
--- a/src/hollowrack/capacity/duty.py
+++ b/src/hollowrack/capacity/reconciler.py
@@ -16,22 +16,22 @@
 from hollowrack.clock import now_s
 from hollowrack.coordination.duty import DutyHolder, DutyOutcome
 from hollowrack.coordination.leadership import Leadership
+from hollowrack.coordination.leadership_term import LeadershipTerm
 from hollowrack.coordination.record import Record
 from hollowrack.coordination.store import CoordinationStore, StoredItem
-from hollowrack.coordination.tenure import Tenure
 from hollowrack.forwarding.types import Service
 from hollowrack.forwarding.workers import WorkerDirectory
 from hollowrack.tasks import cancel_all
 
-LOOK_S = 0.5
+POLL_INTERVAL_S = 0.5
 # Workers write their entries about once per second, so all live ones have been seen by then.
 FIRST_LOOK_S = 2.0
 # Repeats repair an order that was lost, or overwritten by a late older one.
 REPEAT_S = 10.0
-RETRY_PAUSE_S = 1.0
+RETRY_INTERVAL_S = 1.0
 
 
-class CapacityDuty:
+class CapacityReconciler:
     """Decides the capacity plan and orders it from the platform while this node leads.
 
     Args:
@@ -60,7 +60,7 @@
         self._workers = workers
         self._client = client
         self._record = Record(store, key, CapacityPlan)
-        self._term = Tenure(leadership)
+        self._term = LeadershipTerm(leadership)
         self._next_order_s: dict[CapacityOrder, float] = {}
         self._task: asyncio.Task[None] | None = None
 
@@ -72,16 +72,16 @@
         """Stop ordering; existing orders stay in force."""
         await cancel_all(self._task)
 
-    def take(self, item: StoredItem | None) -> None:
+    def update_plan(self, item: StoredItem | None) -> None:
         """Update the plan from the mirrored item."""
-        self._record.take(item)
+        self._record.update(item)
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             if not self._leadership.may_act:
                 continue
-            if self._term.note():
+            if self._term.update():
                 self._next_order_s.clear()
             plan = self._record.value
             if plan is not None:
@@ -92,7 +92,7 @@
     async def _decide(self) -> None:
         available = [worker for worker in self._workers.all() if not worker.is_leaving]
         plan = plan_as_found(self._services(), available)
-        if plan.zones and await self._record.is_known():
+        if plan.zones and await self._record.ensure_current():
             is_decided = await self._record.replace(plan)
             logging.info("capacity: %s %s", plan, "decided" if is_decided else "not decided")
 
@@ -106,4 +106,4 @@
             outcome = await self._client.order_capacity(DutyHolder(self._node, token), order)
             is_accepted = outcome is DutyOutcome.ACCEPTED
             logging.info("capacity: %s: %s", order, outcome.value)
-            self._next_order_s[order] = now_s() + (REPEAT_S if is_accepted else RETRY_PAUSE_S)
+            self._next_order_s[order] = now_s() + (REPEAT_S if is_accepted else RETRY_INTERVAL_S)
--- a/src/hollowrack/coordination/anti_entropy.py
+++ b/src/hollowrack/coordination/anti_entropy.py
@@ -6,7 +6,7 @@
 newer changes may be applied from any node, however stale its mirror is; the age in the answer says
 how current the result is.
 
-A round takes :data:`ROUND_S`, plus the request timeout if a polled neighbour is dead.
+A round takes :data:`ROUND_INTERVAL_S`, plus the request timeout if a polled neighbour is dead.
 """
 
 import asyncio
@@ -17,18 +17,18 @@
 
 from hollowrack.clock import now_s
 from hollowrack.coordination.mirror import PrefixMirror
-from hollowrack.coordination.sharing import FeedClient, SharedStore
+from hollowrack.coordination.shared_store import FeedClient, SharedStore
 from hollowrack.coordination.store import Changes
 from hollowrack.coordination.watch_messages import SharedChanges, WatchRequest
 from hollowrack.results import ResultCode
 from hollowrack.tasks import cancel_all
 
 # Longer than the wait and the interval of a short watch (0.65 s).
-SILENT_S = 0.8
+WATCH_SILENCE_TIMEOUT_S = 0.8
 # Several rounds must fit into the propagation limit of 2 s.
-ROUND_S = 0.3
+ROUND_INTERVAL_S = 0.3
 # With two neighbours per round, a change reaches nine nodes within about four rounds.
-NUM_ASKED = 2
+FANOUT = 2
 # An answer this fresh shows that the store is reachable again.
 STORE_ANSWERS_S = 0.7
 # Neighbours may answer from mirrors of any age.
@@ -71,11 +71,11 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(ROUND_S)
+            await asyncio.sleep(ROUND_INTERVAL_S)
             silent = [
                 prefix
                 for prefix, mirror in self._mirrors.items()
-                if now_s() - mirror.last_heard_s > SILENT_S
+                if now_s() - mirror.last_answer_s > WATCH_SILENCE_TIMEOUT_S
             ]
             if silent:
                 selected = self._select_neighbours()
@@ -85,7 +85,7 @@
 
     def _select_neighbours(self) -> list[str]:
         neighbours = list(self._neighbours())
-        return self._rng.sample(neighbours, min(NUM_ASKED, len(neighbours)))
+        return self._rng.sample(neighbours, min(FANOUT, len(neighbours)))
 
     async def _poll(self, address: str, prefix: str) -> None:
         """Fetch and apply one neighbour's changes after this node's revision."""
@@ -98,16 +98,16 @@
             answer = await self._watch(address, mirror, prefix, wants_listing)
         if answer is None or answer.is_stale or answer.is_history_gone:
             return
-        fault = answer.fault(wants_listing)
+        fault = answer.validation_error(wants_listing)
         if fault is not None:
             code = int(ResultCode.MESSAGE_INVALID)
             logging.error("[%d] invalid changes of %s from %s: %s", code, prefix, address, fault)
-            mirror.recheck()
+            mirror.relist()
             return
         self._apply(address, prefix, answer, wants_listing)
-        self._shared.note_heard(prefix, answer.known_at_s(sent_s))
+        self._shared.record_answer(prefix, answer.as_of_s(sent_s))
         if answer.age_s < STORE_ANSWERS_S:
-            mirror.wake()
+            mirror.retry_now()
 
     async def _watch(
         self, address: str, mirror: PrefixMirror, prefix: str, wants_listing: bool
@@ -119,9 +119,9 @@
         mirror = self._mirrors[prefix]
         before = mirror.reached_revision
         if is_listing:
-            mirror.adopt_listing(answer.listed())
+            mirror.apply_listing(answer.listed())
         else:
-            mirror.adopt(Changes(answer.items(), answer.revision))
+            mirror.apply_changes(Changes(answer.items(), answer.revision))
         if mirror.reached_revision != before and answer.changes:
             logging.info(
                 "changes of %s from the node %s: revision %d after %d, of %.2f s ago",
--- a/src/hollowrack/coordination/leadership.py
+++ b/src/hollowrack/coordination/leadership.py
@@ -16,7 +16,7 @@
 from absl import logging
 
 from hollowrack.clock import now_s
-from hollowrack.coordination.session import Session, node_of_owner, owner_in
+from hollowrack.coordination.session import Session, decode_owner, node_of_owner
 from hollowrack.coordination.store import (
     ABSENT_REVISION,
     Committed,
@@ -37,12 +37,12 @@
 # its next renewal, up to 0.5 s later, and its last order may then be in flight.
 REVOKED_MARGIN_S = 0.6
 # Lets the last leader campaign first.
-MIN_YIELD_S = 0.15
+MIN_CAMPAIGN_DELAY_S = 0.15
 # While processes start, the last leader may be starting too; any other node would have to wait for
 # the handover.
-STARTING_AGE_S = 3.0
-STARTING_YIELD_S = 0.8
-MAX_AGE_YIELD_S = 0.45
+STARTUP_WINDOW_S = 3.0
+STARTUP_CAMPAIGN_DELAY_S = 0.8
+MAX_AGE_CAMPAIGN_DELAY_S = 0.45
 OLD_AGE_S = 20.0
 LAST_SUFFIX = "-last"
 
@@ -129,14 +129,14 @@
             removes = [self.key, self.last_key]
             await self._store.transact([Condition(self.key, token)], [], removes)
 
-    def note(self, item: StoredItem | None) -> None:
+    def update_leader_key(self, item: StoredItem | None) -> None:
         """Update the state of the leader key, as seen by a mirror or a failed write."""
         if item is None:
             self._free_since_s = min(self._free_since_s, now_s())
             self._set_free(ABSENT_REVISION, self._handover_s)
             return
         self._free_since_s = float("inf")
-        holder = owner_in(item.value)
+        holder = decode_owner(item.value)
         if holder == self._owner:
             return
         self.fencing_token = None
@@ -145,7 +145,7 @@
         else:
             self._is_free.clear()
 
-    def note_last(self, item: StoredItem | None) -> None:
+    def update_last_leader_key(self, item: StoredItem | None) -> None:
         """Update the state of the last-leader key.
 
         Every leader writes it. If it has changed, another node has led since this node last saw the
@@ -156,11 +156,11 @@
         self._last_leader = item
 
     @property
-    def led_last(self) -> bool:
+    def was_last_leader(self) -> bool:
         """Whether this node was the last leader, in this incarnation or an earlier one."""
         if self._last_leader is None:
             return False
-        return node_of_owner(owner_in(self._last_leader.value)) == node_of_owner(self._owner)
+        return node_of_owner(decode_owner(self._last_leader.value)) == node_of_owner(self._owner)
 
     def _set_free(self, revision: int, wait_s: float) -> None:
         self._free_revision = revision
@@ -170,7 +170,7 @@
     async def _run(self) -> None:
         while True:
             await self._is_free.wait()
-            if not self.led_last:
+            if not self.was_last_leader:
                 await asyncio.sleep(
                     self._campaign_delay_s() + self._rng.uniform(0, CAMPAIGN_JITTER_S)
                 )
@@ -185,16 +185,16 @@
         make the most stable leaders. Only the last leader campaigns earlier.
         """
         age_s = now_s() - self._start_time_s
-        delay_s = MIN_YIELD_S + MAX_AGE_YIELD_S * min(1.0, age_s / OLD_AGE_S)
-        is_starting = self._last_leader is not None and age_s < STARTING_AGE_S
-        return delay_s + STARTING_YIELD_S if is_starting else delay_s
+        delay_s = MIN_CAMPAIGN_DELAY_S + MAX_AGE_CAMPAIGN_DELAY_S * min(1.0, age_s / OLD_AGE_S)
+        is_starting = self._last_leader is not None and age_s < STARTUP_WINDOW_S
+        return delay_s + STARTUP_CAMPAIGN_DELAY_S if is_starting else delay_s
 
     async def _campaign(self) -> None:
         lease = self._session.lease
         if lease is None:
             return
         last_revision = _revision_of(self._last_leader)
-        must_wait = not self.led_last and self._wait_s > NO_HANDOVER_S
+        must_wait = not self.was_last_leader and self._wait_s > NO_HANDOVER_S
         # The handover time starts when the key was seen to be removed, not with the campaign.
         free_since_s = min(self._free_since_s, now_s())
         outcome = await self._store.transact(
@@ -211,13 +211,13 @@
 
     def _process_conflict(self, lease: int, outcome: Conflict) -> None:
         current = {item.key: item for item in outcome.current}
-        self.note_last(current.get(self.last_key))
+        self.update_last_leader_key(current.get(self.last_key))
         item = current.get(self.key)
         # An earlier attempt whose answer was lost may have succeeded.
-        if item is not None and owner_in(item.value) == self._owner and item.lease == lease:
+        if item is not None and decode_owner(item.value) == self._owner and item.lease == lease:
             self._become_leader(lease, item.revision, now_s() + self._handover_s)
         else:
-            self.note(item)
+            self.update_leader_key(item)
 
     def _become_leader(self, lease: int, revision: int, acts_from_s: float) -> None:
         self._is_free.clear()
--- a/src/hollowrack/coordination/tenure.py
+++ b/src/hollowrack/coordination/leadership_term.py
@@ -4,7 +4,7 @@
 from hollowrack.coordination.leadership import Leadership
 
 
-class Tenure:
+class LeadershipTerm:
     """The current term of leadership, as seen by one component that acts only as the leader.
 
     Args:
@@ -16,7 +16,7 @@
         self._token: int | None = None
         self._began_s = 0.0
 
-    def note(self) -> bool:
+    def update(self) -> bool:
         """Record that this node leads; returns whether a new term began since the last call."""
         if self._token == self._leadership.fencing_token:
             return False
--- a/src/hollowrack/coordination/mirror.py
+++ b/src/hollowrack/coordination/mirror.py
@@ -29,16 +29,16 @@
     StoredItem,
     Unavailable,
 )
-from hollowrack.observability.line_limit import LineLimit
+from hollowrack.observability.log_rate_limiter import LogRateLimiter
 from hollowrack.tasks import cancel_all
 
 # Shorter than the store's history retention, so that an idle watch can resume from its revision.
 WATCH_WAIT_S = 15.0
-FIRST_RETRY_PAUSE_S = 0.4
+INITIAL_BACKOFF_S = 0.4
 # Well below the propagation limit of changes.
-MAX_RETRY_PAUSE_S = 1.2
+MAX_BACKOFF_S = 1.2
 # The sentinel ends the backoff of such a mirror when the store answers again.
-MAX_RESTING_PAUSE_S = 4.0
+MAX_BACKOFF_WITH_SENTINEL_S = 4.0
 LATE_ANSWER_S = 0.5
 MAX_HISTORY = 512
 # Keys are written by other programs and may be very long.
@@ -54,17 +54,17 @@
         store: Store to list and watch.
         prefix: Prefix of the mirrored keys.
         on_change: Called with each key and its new item, or ``None`` if it was removed.
-        pace_s: Minimum interval between two calls to the store, in seconds.
+        min_interval_s: Minimum interval between two calls to the store, in seconds.
         rng: Source of the retry jitter.
         watch_wait_s: Longest wait of one watch, in seconds.
-        on_doubt: Called when other watches may have missed changes; for the sentinel.
-        rests_on_sentinel: Whether a sentinel has this mirror list again after failures.
+        on_suspected_gap: Called when other watches may have missed changes; for the sentinel.
+        has_sentinel: Whether a sentinel has this mirror list again after failures.
         starts_after: Set once the first listing may begin; ``None`` to begin at once.
 
     Attributes:
         items: The mirrored keys.
         is_loaded: Set after the first listing.
-        last_heard_s: When the store last answered, on the loop's clock.
+        last_answer_s: When the store last answered, on the loop's clock.
         reached_revision: Store revision up to which all changes are applied.
     """
 
@@ -73,16 +73,16 @@
         store: CoordinationStore,
         prefix: str,
         on_change: OnChange,
-        pace_s: float,
+        min_interval_s: float,
         rng: random.Random,
         watch_wait_s: float = WATCH_WAIT_S,
-        on_doubt: Callable[[], None] | None = None,
-        rests_on_sentinel: bool = False,
+        on_suspected_gap: Callable[[], None] | None = None,
+        has_sentinel: bool = False,
         starts_after: asyncio.Event | None = None,
     ) -> None:
         self.items: dict[str, StoredItem] = {}
         self.is_loaded = asyncio.Event()
-        self.last_heard_s = -float("inf")
+        self.last_answer_s = -float("inf")
         self.reached_revision = 0
         self._history: deque[KeyChange] = deque(maxlen=MAX_HISTORY)
         self._history_from = 0
@@ -90,19 +90,19 @@
         self._store = store
         self._prefix = prefix
         self._on_change = on_change
-        self._min_interval_s = pace_s
+        self._min_interval_s = min_interval_s
         self._watch_wait_s = watch_wait_s
-        self._on_suspected_gap = on_doubt
+        self._on_suspected_gap = on_suspected_gap
         self._starts_after = starts_after
-        max_backoff_s = MAX_RESTING_PAUSE_S if rests_on_sentinel else MAX_RETRY_PAUSE_S
-        self._backoff = Backoff(FIRST_RETRY_PAUSE_S, max_backoff_s, rng)
+        max_backoff_s = MAX_BACKOFF_WITH_SENTINEL_S if has_sentinel else MAX_BACKOFF_S
+        self._backoff = Backoff(INITIAL_BACKOFF_S, max_backoff_s, rng)
         self._ends_backoff = asyncio.Event()
         self._may_have_gap = False
         self._must_relist = False
         self._watch_task: asyncio.Task[Changes | HistoryGone | Unavailable] | None = None
         self._task: asyncio.Task[None] | None = None
         self._is_failing = False
-        self._error_log_limiter = LineLimit()
+        self._error_log_limiter = LogRateLimiter()
 
     def start(self) -> None:
         """Start listing and watching."""
@@ -127,34 +127,34 @@
         except TimeoutError:
             return
 
-    def recheck(self) -> None:
+    def relist(self) -> None:
         """List all keys again now, as the watch may have missed changes."""
         self._must_relist = True
         self._ends_backoff.set()
         if self._watch_task is not None:
             self._watch_task.cancel()
 
-    def wake(self) -> None:
+    def retry_now(self) -> None:
         """End the backoff after a failure, as the store answers again."""
         self._ends_backoff.set()
 
-    def rewatch(self) -> None:
+    def restart_watch(self) -> None:
         """Restart the current watch from the same revision."""
         self._ends_backoff.set()
         if self._watch_task is not None:
             self._watch_task.cancel()
 
-    def adopt(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Apply changes after the reached revision that were learned from another node."""
         if self.is_loaded.is_set() and changes.revision > self.reached_revision:
             self._apply_newer(changes)
-            self.rewatch()
+            self.restart_watch()
 
-    def adopt_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Apply a listing that was learned from another node, if its revision is newer."""
         if not self.is_loaded.is_set() or listing.revision > self.reached_revision:
             self._replace_all(listing)
-            self.rewatch()
+            self.restart_watch()
 
     async def _run(self) -> None:
         if self._starts_after is not None:
@@ -170,7 +170,7 @@
         """Back off before the next attempt, unless :meth:`wake` ends the backoff."""
         self._ends_backoff.clear()
         try:
-            async with asyncio.timeout(self._backoff.next_pause_s()):
+            async with asyncio.timeout(self._backoff.next_delay_s()):
                 await self._ends_backoff.wait()
         except TimeoutError:
             return
@@ -266,7 +266,7 @@
             self._changed = asyncio.Event()
 
     def _record_answer(self) -> None:
-        self.last_heard_s = now_s()
+        self.last_answer_s = now_s()
         if self._is_failing:
             logging.info("coordination store answers again for %s", self._prefix)
         self._is_failing = False
@@ -318,5 +318,5 @@
                     self._prefix,
                     MAX_LOGGED_KEY_LENGTH,
                     key,
-                    self._error_log_limiter.take_left_out(),
+                    self._error_log_limiter.reset_suppressed(),
                 )
--- a/src/hollowrack/coordination/mirror_feed.py
+++ b/src/hollowrack/coordination/mirror_feed.py
@@ -15,13 +15,15 @@
 
     Args:
         mirrors: Mirrors by prefix.
-        heard_s: Returns when the store last answered about a prefix, to this node or to its source,
-            on the loop's clock.
+        last_answer_s: Returns when the store last answered about a prefix, to this node or to its
+            source, on the loop's clock.
     """
 
-    def __init__(self, mirrors: dict[str, PrefixMirror], heard_s: Callable[[str], float]) -> None:
+    def __init__(
+        self, mirrors: dict[str, PrefixMirror], last_answer_s: Callable[[str], float]
+    ) -> None:
         self._mirrors = mirrors
-        self._heard_s = heard_s
+        self._heard_s = last_answer_s
 
     async def watch(self, request: WatchRequest) -> SharedChanges:
         """Answer at the first change or after ``request.wait_s``; answer a listing at once."""
--- a/src/hollowrack/coordination/record.py
+++ b/src/hollowrack/coordination/record.py
@@ -56,7 +56,7 @@
         # Whether the outcome of this node's last write is unknown.
         self._is_write_unknown = False
 
-    def take(self, item: StoredItem | None) -> None:
+    def update(self, item: StoredItem | None) -> None:
         """Update from the stored item, as seen by a mirror or a failed write.
 
         If the key was removed, the value is kept and the next write must create the key.
@@ -75,13 +75,13 @@
         self.value = decoded.unwrap()
         self._on_change(decoded.unwrap())
 
-    async def is_known(self) -> bool:
+    async def ensure_current(self) -> bool:
         """Read the record if a write's outcome is unknown; returns whether the value is current."""
         if self._is_write_unknown:
             item = await self._store.get(self._key)
             if isinstance(item, NotDone | Unknown):
                 return False
-            self.take(item)
+            self.update(item)
             self._is_write_unknown = False
         return True
 
@@ -91,10 +91,10 @@
         condition = Condition(self._key, self._revision)
         outcome = await self._store.transact([condition], [Put(self._key, encoded)])
         if isinstance(outcome, Committed):
-            self.take(StoredItem(self._key, encoded, outcome.revision))
+            self.update(StoredItem(self._key, encoded, outcome.revision))
             return True
         if isinstance(outcome, Conflict):
-            self.take(next(iter(outcome.current), None))
+            self.update(next(iter(outcome.current), None))
         else:
             # The write may have been applied or may be applied later; it is read before a retry.
             self._is_write_unknown = isinstance(outcome, Unknown)
--- a/src/hollowrack/coordination/relay.py
+++ b/src/hollowrack/coordination/relay.py
@@ -42,13 +42,13 @@
 FIRST_RELAY_PERIOD_S = 1.0
 MAX_RELAY_PERIOD_S = 4.0
 # Leaves time to relay a renewal within the lease's 2 s; a slow store answers within 0.25 s.
-LEASE_PATIENCE_S = 0.5
+LEASE_CALL_TIMEOUT_S = 0.5
 MAX_NODES_ASKED = 2
 # Backoff of relaying after a failed attempt.
 FIRST_RELAY_PAUSE_S = 0.5
 MAX_RELAY_PAUSE_S = 4.0
 # Time for which a node that failed to relay is not asked again.
-NODE_PAUSE_S = 2.0
+NODE_RETRY_INTERVAL_S = 2.0
 
 
 @message("store.get")
@@ -267,7 +267,7 @@
         if not self._nodes():
             return await call
         try:
-            async with asyncio.timeout(LEASE_PATIENCE_S):
+            async with asyncio.timeout(LEASE_CALL_TIMEOUT_S):
                 return await call
         except TimeoutError:
             return Unknown("no answer in time")
@@ -303,7 +303,7 @@
         if not self._direct_calls_fail:
             self._relay_first_backoff.reset()
             return
-        self._relay_first_until_s = now_s() + self._relay_first_backoff.next_pause_s()
+        self._relay_first_until_s = now_s() + self._relay_first_backoff.next_delay_s()
         if not failed_before and self._may_relay():
             for listener in self.direct_failure_listeners:
                 listener()
@@ -316,10 +316,10 @@
             if not isinstance(answer, NotDone | Unknown):
                 self._relay_backoff.reset()
                 return answer
-            self._retry_node_from_s[address] = now_s() + NODE_PAUSE_S
+            self._retry_node_from_s[address] = now_s() + NODE_RETRY_INTERVAL_S
             if isinstance(answer, Unknown):
                 break
-        delay_s = self._relay_backoff.next_pause_s()
+        delay_s = self._relay_backoff.next_delay_s()
         self._retry_relay_from_s = now_s() + delay_s
         logging.info(
             "store call: relaying through other nodes failed too (%s), next attempt in %.1f s",
--- a/src/hollowrack/coordination/relay_http.py
+++ b/src/hollowrack/coordination/relay_http.py
@@ -38,7 +38,7 @@
 RELAY_PATH = "/store"
 # A slow store answers within 0.25 s. Waiting longer delays a call that may succeed directly.
 ANSWER_TIMEOUT_S = 0.8
-WATCH_GRACE_S = 0.8
+WATCH_TIMEOUT_MARGIN_S = 0.8
 
 _CALLS = (
     RelayedGet,
@@ -77,7 +77,7 @@
         """Have the node at an address make a call."""
         total_s = ANSWER_TIMEOUT_S
         if isinstance(call, RelayedWatch):
-            total_s = call.wait_s + WATCH_GRACE_S
+            total_s = call.wait_s + WATCH_TIMEOUT_MARGIN_S
         try:
             answer = await ask_node(self._session, address, RELAY_PATH, call, total_s)
         except NodeUnreachableError:
--- a/src/hollowrack/coordination/sharing.py
+++ b/src/hollowrack/coordination/shared_store.py
@@ -38,11 +38,11 @@
 # MAX_MIRROR_AGE_S plus the wait and the interval of one more short watch.
 MAX_RELAYED_AGE_S = 1.7
 # Time for which a source that timed out is not asked again, as every timeout delays changes.
-DISTRUST_S = 1.5
+UNRESPONSIVE_SOURCE_RETRY_INTERVAL_S = 1.5
 # The same for a source that answered at once that its mirror is stale.
-STALE_DISTRUST_S = 0.5
+STALE_SOURCE_RETRY_INTERVAL_S = 0.5
 # Limits the load on the store while there is no leader and all followers ask it.
-FOLLOWER_PAUSE_S = 0.4
+FOLLOWER_POLL_DELAY_S = 0.4
 # Observers are many, so each probes a failing store rarely. Deployments that are large enough to
 # have observers have a propagation limit of 3 s.
 PROBE_INTERVAL_S = 2.0
@@ -102,7 +102,7 @@
         self.source_listeners: list[Callable[[], None]] = []
         self.recovery_listeners: list[Callable[[], None]] = []
 
-    def heard_s(self, prefix: str | None) -> float:
+    def last_answer_s(self, prefix: str | None) -> float:
         """Return when the store last answered about a prefix, to this node or to its source.
 
         Args:
@@ -115,7 +115,7 @@
             return self._heard_s.get(prefix, -float("inf"))
         return max(self._heard_s.values(), default=-float("inf"))
 
-    def note_heard(self, prefix: str, at_s: float) -> None:
+    def record_answer(self, prefix: str, at_s: float) -> None:
         """Record that the known state of a prefix was the store's state at ``at_s``."""
         self._heard_s[prefix] = max(at_s, self._heard_s.get(prefix, at_s))
 
@@ -138,7 +138,7 @@
         answer = await self._store.watch(prefix, after_revision, 0.0 if is_probe else wait_s)
         self._record_store_state(isinstance(answer, Changes | HistoryGone))
         if isinstance(answer, Changes):
-            self.note_heard(prefix, now_s())
+            self.record_answer(prefix, now_s())
         return answer
 
     async def list_prefix(self, prefix: str) -> Listing | Unavailable:
@@ -155,7 +155,7 @@
         listing = await self._store.list_prefix(prefix)
         self._record_store_state(isinstance(listing, Listing))
         if isinstance(listing, Listing):
-            self.note_heard(prefix, sent_s)
+            self.record_answer(prefix, sent_s)
             self._reach(prefix, listing.revision)
         return listing
 
@@ -169,10 +169,14 @@
             refusal = _refusal(request, shared)
             if shared is not None and refusal is None:
                 if not shared.is_history_gone:
-                    self.note_heard(request.prefix, shared.known_at_s(sent_s))
+                    self.record_answer(request.prefix, shared.as_of_s(sent_s))
                 self._set_source(address)
                 return shared
-            retry_interval_s = DISTRUST_S if shared is None else STALE_DISTRUST_S
+            retry_interval_s = (
+                UNRESPONSIVE_SOURCE_RETRY_INTERVAL_S
+                if shared is None
+                else STALE_SOURCE_RETRY_INTERVAL_S
+            )
             self._retry_source_from_s[address] = now_s() + retry_interval_s
             logging.info("watch of %s: source %s rejected: %s", request.prefix, address, refusal)
         self._set_source(None)
@@ -205,7 +209,7 @@
     async def _delay_repeated_call(self, prefix: str) -> None:
         """Delay all but a follower's first call, which fetches what it has missed."""
         if prefix in self._prefixes_asked and self._access() is not StoreAccess.LEADER:
-            await asyncio.sleep(FOLLOWER_PAUSE_S)
+            await asyncio.sleep(FOLLOWER_POLL_DELAY_S)
         self._prefixes_asked.add(prefix)
 
     def _set_source(self, source: str | None) -> None:
@@ -252,5 +256,5 @@
         return "its mirror is stale"
     if request.wants_listing and shared.revision < request.after_revision:
         return f"its listing has revision {shared.revision}, known is {request.after_revision}"
-    fault = shared.fault(request.wants_listing)
+    fault = shared.validation_error(request.wants_listing)
     return None if fault is None else f"[{int(ResultCode.MESSAGE_INVALID)}] {fault}"
--- a/src/hollowrack/coordination/watch_messages.py
+++ b/src/hollowrack/coordination/watch_messages.py
@@ -82,7 +82,7 @@
     age_s: float = 0.0
     held_s: float = 0.0
 
-    def known_at_s(self, sent_s: float) -> float:
+    def as_of_s(self, sent_s: float) -> float:
         """Return the earliest time at which the store was in this state.
 
         Args:
@@ -103,7 +103,7 @@
         items = tuple(item for item in self.items() if isinstance(item, StoredItem))
         return Listing(items, self.revision)
 
-    def fault(self, is_listing: bool) -> str | None:
+    def validation_error(self, is_listing: bool) -> str | None:
         """Why the answer is invalid; ``None`` if it is valid.
 
         Args:
--- a/src/hollowrack/suspension.py
+++ b/src/hollowrack/suspension.py
@@ -14,7 +14,7 @@
 
 from hollowrack.tasks import cancel_all
 
-LOOK_S = 0.5
+POLL_INTERVAL_S = 0.5
 # Far longer than the time between the readings of the two clocks.
 MIN_SUSPENSION_S = 0.1
 
@@ -59,7 +59,7 @@
         return runner.run(main)
 
 
-class SuspensionWatch:
+class SuspensionMonitor:
     """Detects suspensions of the machine by comparing two clocks periodically.
 
     Args:
@@ -90,7 +90,7 @@
     async def _run(self) -> None:
         offset_s = self._clock_offset_s()
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             suspended_s = self._clock_offset_s() - offset_s
             offset_s += suspended_s
             if suspended_s >= MIN_SUSPENSION_S:
--- a/src/hollowrack/usage/meter.py
+++ b/src/hollowrack/usage/meter.py
@@ -32,7 +32,7 @@
         """Return the current time of day, in seconds since 1970."""
         return self._clock.time_s()
 
-    def note_begun(self, tenant: str | None, begun_s: float) -> None:
+    def record_request(self, tenant: str | None, begun_s: float) -> None:
         """Count a request that a worker has begun.
 
         Args:
--- a/src/hollowrack/weights/plan.py
+++ b/src/hollowrack/weights/plan.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from math import ceil
 
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
 
 # Allows one worker of a model to fail.
 MIN_WORKERS_PER_MODEL = 2
@@ -13,7 +13,7 @@
 # More concurrent loads than this share of the workers slow each other down.
 CONCURRENT_LOADS_SHARE = 0.4
 # Loads of one load slot between two versions: a load takes 1 s, versions are 4 s apart.
-NUM_LOADS_IN_TURN = 4
+LOADS_PER_SLOT = 4
 # Where models share workers, leaves capacity for repeating failed loads.
 SHARED_LOADS_SHARE = 0.75
 # One additional unplanned holder of a model may stay per this many holders.
@@ -22,7 +22,7 @@
 NUM_STEPS_SERVED = 2
 
 # Version by incarnation of a worker and model.
-HeldVersions = Mapping[tuple[WorkerLife, str], int]
+HeldVersions = Mapping[tuple[WorkerIncarnation, str], int]
 
 
 @dataclass(frozen=True)
@@ -60,7 +60,7 @@
 def max_loads_per_version(num_workers: int) -> int:
     """Return how many loads fit between two versions, over all models."""
     num_load_slots = max(MIN_CONCURRENT_LOADS, CONCURRENT_LOADS_SHARE * num_workers)
-    return int(NUM_LOADS_IN_TURN * num_load_slots)
+    return int(LOADS_PER_SLOT * num_load_slots)
 
 
 def plan_loads(
@@ -89,28 +89,28 @@
     names: Sequence[str], workers: Sequence[Worker], held_versions: HeldVersions, num_holders: int
 ) -> dict[str, tuple[Worker, ...]]:
     max_models = ceil(num_holders * len(names) / len(workers))
-    num_models: Counter[WorkerLife] = Counter()
+    num_models: Counter[WorkerIncarnation] = Counter()
     assigned: dict[str, list[Worker]] = {}
     # Current holders of all models are counted before missing holders are added.
     for name in names:
         current_holders = _current_holders(name, workers, held_versions)
         # A few more than planned, so that the loss of a worker does not move a model.
         assigned[name] = current_holders[: num_holders + num_holders // INCUMBENTS_PER_SPARE]
-        num_models.update(worker.life for worker in assigned[name])
+        num_models.update(worker.incarnation for worker in assigned[name])
     for name in names:
         others = [worker for worker in workers if worker not in assigned[name]]
         while len(assigned[name]) < num_holders:
             best = min(
                 others,
                 key=lambda worker: (
-                    num_models[worker.life] >= max_models,
-                    num_models[worker.life],
-                    worker.life,
+                    num_models[worker.incarnation] >= max_models,
+                    num_models[worker.incarnation],
+                    worker.incarnation,
                 ),
             )
             others.remove(best)
             assigned[name].append(best)
-            num_models[best.life] += 1
+            num_models[best.incarnation] += 1
     return {name: tuple(holders) for name, holders in assigned.items()}
 
 
@@ -118,20 +118,24 @@
     model: str, workers: Sequence[Worker], held_versions: HeldVersions
 ) -> list[Worker]:
     """Current holders of a model, newest version first; none if all versions are equal."""
-    versions = {worker.life: held_versions.get((worker.life, model), 0) for worker in workers}
+    versions = {
+        worker.incarnation: held_versions.get((worker.incarnation, model), 0) for worker in workers
+    }
     newest = max(versions.values())
     if newest == min(versions.values()):
         return []
-    current = [worker for worker in workers if versions[worker.life] > newest - NUM_STEPS_SERVED]
-    return sorted(current, key=lambda worker: (-versions[worker.life], worker.life))
+    current = [
+        worker for worker in workers if versions[worker.incarnation] > newest - NUM_STEPS_SERVED
+    ]
+    return sorted(current, key=lambda worker: (-versions[worker.incarnation], worker.incarnation))
 
 
 def next_moves(
     named_versions: Mapping[str, int],
-    ripe_models: Collection[str],
+    ready_models: Collection[str],
     plan: LoadPlan,
     held_versions: HeldVersions,
-    loading: Mapping[WorkerLife, str],
+    loading: Mapping[WorkerIncarnation, str],
     max_concurrent: int = MIN_CONCURRENT_LOADS,
 ) -> list[VersionMove]:
     """Return the moves to start now.
@@ -143,7 +147,7 @@
 
     Args:
         named_versions: Newest announced version by model.
-        ripe_models: Models whose workers with the previous version may be moved.
+        ready_models: Models whose workers with the previous version may be moved.
         plan: Assignment of models to workers.
         held_versions: Known loaded versions.
         loading: The model being loaded, by incarnation of the worker.
@@ -157,17 +161,17 @@
             break
         num_holders = len(plan.holders[model])
         num_ahead = num_loading_by_model[model] + sum(
-            held_versions.get((holder.life, model), 0) >= named_versions[model]
+            held_versions.get((holder.incarnation, model), 0) >= named_versions[model]
             for holder in plan.holders[model]
         )
         may_move = not can_serve or (
-            model in ripe_models
+            model in ready_models
             and num_loading_by_model[model] < max(1, num_holders // 2)
             and num_ahead < plan.num_wanted(model)
         )
-        if worker.life in busy or not may_move:
+        if worker.incarnation in busy or not may_move:
             continue
-        busy.add(worker.life)
+        busy.add(worker.incarnation)
         num_loading_by_model[model] += 1
         moves.append(VersionMove(worker, model, named_versions[model]))
     return moves
@@ -182,14 +186,16 @@
 
     Workers that cannot serve come first, then models with the fewest workers that can.
     """
-    entries: list[tuple[tuple[bool, int, str, WorkerLife], tuple[bool, str, Worker]]] = []
+    entries: list[tuple[tuple[bool, int, str, WorkerIncarnation], tuple[bool, str, Worker]]] = []
     for model, version in named_versions.items():
-        versions = [held_versions.get((worker.life, model), 0) for worker in holders.get(model, ())]
+        versions = [
+            held_versions.get((worker.incarnation, model), 0) for worker in holders.get(model, ())
+        ]
         num_serving = sum(held >= version - 1 for held in versions)
         for worker, held in zip(holders.get(model, ()), versions, strict=True):
             if held < version:
                 can_serve = held >= version - 1
-                rank = (can_serve, num_serving, model, worker.life)
+                rank = (can_serve, num_serving, model, worker.incarnation)
                 entries.append((rank, (can_serve, model, worker)))
     entries.sort(key=lambda entry: entry[0])
     return [entry for _, entry in entries]
