--- a/src/hollowrack/coordination/anti_entropy.py
+++ b/src/hollowrack/coordination/anti_entropy.py
@@ -98,10 +98,10 @@
             answer = await self._watch(address, mirror, prefix, wants_listing)
         if answer is None or answer.is_stale or answer.is_history_gone:
             return
-        fault = answer.validation_error(wants_listing)
-        if fault is not None:
+        error = answer.validation_error(wants_listing)
+        if error is not None:
             code = int(ResultCode.MESSAGE_INVALID)
-            logging.error("[%d] invalid changes of %s from %s: %s", code, prefix, address, fault)
+            logging.error("[%d] invalid changes of %s from %s: %s", code, prefix, address, error)
             mirror.relist()
             return
         self._apply(address, prefix, answer, wants_listing)
--- a/src/hollowrack/coordination/mirror.py
+++ b/src/hollowrack/coordination/mirror.py
@@ -167,7 +167,7 @@
                 await self._back_off()
 
     async def _back_off(self) -> None:
-        """Back off before the next attempt, unless :meth:`wake` ends the backoff."""
+        """Back off before the next attempt, unless :meth:`retry_now` ends the backoff."""
         self._ends_backoff.clear()
         try:
             async with asyncio.timeout(self._backoff.next_delay_s()):
--- a/src/hollowrack/coordination/mirror_feed.py
+++ b/src/hollowrack/coordination/mirror_feed.py
@@ -23,7 +23,7 @@
         self, mirrors: dict[str, PrefixMirror], last_answer_s: Callable[[str], float]
     ) -> None:
         self._mirrors = mirrors
-        self._heard_s = last_answer_s
+        self._last_answer_s = last_answer_s
 
     async def watch(self, request: WatchRequest) -> SharedChanges:
         """Answer at the first change or after ``request.wait_s``; answer a listing at once."""
@@ -56,10 +56,10 @@
         return SharedChanges(
             changes,
             mirror.reached_revision,
-            age_s=now_s() - self._heard_s(request.prefix),
+            age_s=now_s() - self._last_answer_s(request.prefix),
             held_s=now_s() - received_s,
         )
 
     def _is_fresh(self, mirror: PrefixMirror, request: WatchRequest) -> bool:
-        is_recent = now_s() - self._heard_s(request.prefix) <= request.max_age_s
+        is_recent = now_s() - self._last_answer_s(request.prefix) <= request.max_age_s
         return is_recent and mirror.is_loaded.is_set()
--- a/src/hollowrack/coordination/shared_store.py
+++ b/src/hollowrack/coordination/shared_store.py
@@ -97,7 +97,7 @@
         self._source: str | None = None
         self._store_answers = False
         self._next_probe_s = -float("inf")
-        self._heard_s: dict[str, float] = {}
+        self._last_answers_s: dict[str, float] = {}
         self.sentinel_prefix: str | None = None
         self.source_listeners: list[Callable[[], None]] = []
         self.recovery_listeners: list[Callable[[], None]] = []
@@ -112,12 +112,12 @@
             The time on the loop's clock; minus infinity if it never did.
         """
         if prefix is not None and prefix == self.sentinel_prefix:
-            return self._heard_s.get(prefix, -float("inf"))
-        return max(self._heard_s.values(), default=-float("inf"))
+            return self._last_answers_s.get(prefix, -float("inf"))
+        return max(self._last_answers_s.values(), default=-float("inf"))
 
     def record_answer(self, prefix: str, at_s: float) -> None:
         """Record that the known state of a prefix was the store's state at ``at_s``."""
-        self._heard_s[prefix] = max(at_s, self._heard_s.get(prefix, at_s))
+        self._last_answers_s[prefix] = max(at_s, self._last_answers_s.get(prefix, at_s))
 
     async def watch(
         self, prefix: str, after_revision: int, wait_s: float
@@ -256,5 +256,5 @@
         return "its mirror is stale"
     if request.wants_listing and shared.revision < request.after_revision:
         return f"its listing has revision {shared.revision}, known is {request.after_revision}"
-    fault = shared.validation_error(request.wants_listing)
-    return None if fault is None else f"[{int(ResultCode.MESSAGE_INVALID)}] {fault}"
+    error = shared.validation_error(request.wants_listing)
+    return None if error is None else f"[{int(ResultCode.MESSAGE_INVALID)}] {error}"
--- a/src/hollowrack/edge_node.py
+++ b/src/hollowrack/edge_node.py
@@ -143,7 +143,7 @@
         )
         self._address = connections.address
         self._seeds = connections.seeds
-        self._change_bound_s = connections.max_change_delay_s
+        self._max_change_delay_s = connections.max_change_delay_s
         self._num_cores = connections.num_cores
         self.feed_client = connections.feed
         self.shared_store = SharedStore(
@@ -245,7 +245,7 @@
     @property
     def is_configuration_stale(self) -> bool:
         """Whether the known configuration is older than the propagation limit of changes."""
-        return self.configuration_age_s > self._change_bound_s
+        return self.configuration_age_s > self._max_change_delay_s
 
     def start(self) -> None:
         """Start all components."""
--- a/src/hollowrack/weights/version_reconciler.py
+++ b/src/hollowrack/weights/version_reconciler.py
@@ -65,10 +65,10 @@
     model_versions: Mapping[str, int]
     started_ms: int = 0
 
-    def could_be_from(self, life: WorkerIncarnation) -> bool:
+    def could_be_from(self, incarnation: WorkerIncarnation) -> bool:
         """Whether an incarnation may have sent this report; an unknown start matches any."""
-        are_starts_known = self.started_ms > 0 and life.started_ms > 0
-        return not are_starts_known or self.started_ms == life.started_ms
+        are_starts_known = self.started_ms > 0 and incarnation.started_ms > 0
+        return not are_starts_known or self.started_ms == incarnation.started_ms
 
 
 @dataclass(frozen=True)
@@ -190,25 +190,25 @@
         key = (model, self._named_versions[model])
         return now_s() >= self._ready_from_s.setdefault(key, now_s() + LOAD_DELAY_S)
 
-    def _remove_move(self, life: WorkerIncarnation, _: asyncio.Task[None]) -> None:
-        self._moves.pop(life, None)
-        self._loading.pop(life, None)
+    def _remove_move(self, incarnation: WorkerIncarnation, _: asyncio.Task[None]) -> None:
+        self._moves.pop(incarnation, None)
+        self._loading.pop(incarnation, None)
         self._move_ended.set()
 
     def _remove_ended_incarnations(self) -> None:
         """Remove ended incarnations, so that their loads do not count as concurrent loads."""
-        for life in list(self._moves):
-            if self._has_restarted(life):
-                logging.info("worker %s: its order is dropped, it has started again", life)
-                self._moves.pop(life).cancel()
-                self._loading.pop(life, None)
-        for life, model in list(self._confirmed):
-            if not self._workers.is_current(life):
-                del self._confirmed[life, model]
-
-    def _has_restarted(self, life: WorkerIncarnation) -> bool:
-        known = self._workers.get(life.worker_id)
-        return known is not None and known.incarnation != life
+        for incarnation in list(self._moves):
+            if self._has_restarted(incarnation):
+                logging.info("worker %s: its order is dropped, it has started again", incarnation)
+                self._moves.pop(incarnation).cancel()
+                self._loading.pop(incarnation, None)
+        for incarnation, model in list(self._confirmed):
+            if not self._workers.is_current(incarnation):
+                del self._confirmed[incarnation, model]
+
+    def _has_restarted(self, incarnation: WorkerIncarnation) -> bool:
+        known = self._workers.get(incarnation.worker_id)
+        return known is not None and known.incarnation != incarnation
 
     def _confirm_entries(self) -> None:
         """Update from the workers' entries; versions never decrease within one incarnation."""
