--- a/tests/observability/test_log_texts.py
+++ b/tests/observability/test_log_texts.py
@@ -96,6 +96,7 @@
     written = handler.python_handler
     before = written.formatter, handler.filters[:], root.handlers[:], root.level
     verbosity = logging.get_verbosity()
+    absl_level = logging.get_absl_logger().level
     setup_logging(Logging(format="json", level="info"), "n1", "z1")
     collector = LineCollector(handler)
     root.handlers = [collector]
@@ -104,6 +105,8 @@
     finally:
         written.formatter, handler.filters, root.handlers, root.level = before
         logging.set_verbosity(verbosity)
+        # set_verbosity changes the level of absl's logger, which other tests expect to be unset.
+        logging.get_absl_logger().setLevel(absl_level)
 
 
 class FaultyBackEnds(BackEndsStandin):
