--- a/src/hollowrack/edge_node.py
+++ b/src/hollowrack/edge_node.py
@@ -347,7 +347,7 @@
         self.workers.remove(worker_id)
         if worker is not None and not self.workers.serving(worker.service):
             logging.warning(
-                "worker %s: its entry is gone, and no other of service %s is known",
+                "worker %s: entry removed, and no others of service %s are known",
                 worker_id,
                 worker.service,
             )
--- a/src/hollowrack/weights/version_reconciler.py
+++ b/src/hollowrack/weights/version_reconciler.py
@@ -43,8 +43,8 @@
 class OrderOutcome(Enum):
     """A worker's answer to an order."""
 
-    ACCEPTED = "being done"
-    ALREADY_LOADED = "holds already"
+    ACCEPTED = "accepted"
+    ALREADY_LOADED = "already loaded"
     REFUSED = "refused"
     UNKNOWN = "no answer"
 
@@ -199,7 +199,7 @@
         """Remove ended incarnations, so that their loads do not count as concurrent loads."""
         for incarnation in list(self._moves):
             if self._has_restarted(incarnation):
-                logging.info("worker %s: its order is dropped, it has started again", incarnation)
+                logging.info("worker %s: order cancelled because of a restart", incarnation)
                 self._moves.pop(incarnation).cancel()
                 self._loading.pop(incarnation, None)
         for incarnation, model in list(self._confirmed):
@@ -274,7 +274,7 @@
             return None
         if not report.could_be_from(worker.incarnation):
             logging.info(
-                "worker %s: its report counts for nothing, it is of a start at %d",
+                "worker %s: report ignored, it is from the incarnation started at %d ms",
                 worker.incarnation,
                 report.started_ms,
             )
