--- a/src/hollowrack/slots/__init__.py
+++ b/src/hollowrack/slots/__init__.py
@@ -1,1 +1,1 @@
-"""Sharing the slots of workers among the nodes that run jobs."""
+"""Allocation of worker slots to the nodes that run jobs."""
--- a/src/hollowrack/slots/book.py
+++ b/src/hollowrack/slots/book.py
@@ -1,7 +1,8 @@
-"""What the arbiter knows of the owners at one service, and how much each may be spending.
+"""Slot allocator: the arbiter's state of the owners at one service.
 
-An owner may be spending what it has in flight, what it said it may, and what it was granted since:
-answers may be lost, so a grant counts until a report names a later one or it has ended.
+The slots reserved for an owner at an incarnation are the maximum of its reported in-flight count,
+its reported limit and the limits of later grants. Answers may be lost, so a grant counts until a
+report names a later one or until it has expired.
 """
 
 from collections import Counter
@@ -13,77 +14,77 @@
 from hollowrack.slots.shares import equal_share
 from hollowrack.slots.types import OpenWork, SlotReport
 
-# Long enough to outlast several lost messages and the choice of another leader in most cases, and
-# shorter than the handover to that leader, so that no grants of two arbiters overlap.
+# Outlasts several lost messages and most leader elections. Shorter than the wait of a new leader,
+# so that grants of two arbiters never overlap.
 GRANT_TTL_S = 3.0
-# Owners report several times a second: one that has said nothing for so long is gone, cut off or
-# shares no slots, and the others need what would be kept for it.
+# Several report intervals: a known owner without a report by then gets no slots reserved.
 UNHEARD_WAIT_S = 0.5
-# Planning takes some 2 us for each job and worker; so it takes up to 4% of a core.
+# Bounds the CPU time spent on planning, whose cost is proportional to jobs times workers.
 PLAN_AGE_PER_CELL_S = 50e-6
-# However large the fleet, a plan follows a step of a few seconds, in seconds.
 MAX_PLAN_AGE_S = 1.0
-# Far more than nodes own jobs; bounds the memory that invented names take.
+# Bounds the memory that reports under invalid owner names can take.
 MAX_OWNERS = 512
 
 
 @dataclass(frozen=True)
 class _SentGrant:
-    """A grant that its owner may be spending.
+    """A grant that may be in force at its owner.
 
     Attributes:
         number: Number of the report that it answered.
-        limits: By life.
-        ends_s: When it has certainly ended, in seconds.
+        limits: Slots by incarnation.
+        expires_s: Time by which it has expired at the owner, in seconds.
     """
 
     number: int
     limits: Mapping[str, int]
-    ends_s: float
+    expires_s: float
 
 
 @dataclass
 class _Owner:
-    """What is known of one owner.
+    """State of one owner.
 
     Attributes:
         report: Its last report.
-        heard_s: When that came.
-        demand: The same, for the plan.
-        claims: How much it may be spending, by life.
-        sent: Grants that it may be spending.
+        received_s: Time of that report, in seconds.
+        demand: Input of the plan, derived from the report.
+        reserved: Slots reserved for it, by incarnation.
+        sent_grants: Grants that may be in force, oldest first.
     """
 
     report: SlotReport
-    heard_s: float
+    received_s: float
     demand: OwnerDemand
-    claims: dict[str, int] = field(default_factory=dict)
-    sent: list[_SentGrant] = field(default_factory=list)
+    reserved: dict[str, int] = field(default_factory=dict)
+    sent_grants: list[_SentGrant] = field(default_factory=list)
 
-    def last_s(self) -> float:
-        """Until when the owner may be spending something, in seconds."""
-        return max([self.heard_s + GRANT_TTL_S, *(grant.ends_s for grant in self.sent)])
+    def last_expiry_s(self) -> float:
+        """Time at which all grants of the owner have expired, in seconds."""
+        return max(
+            [self.received_s + GRANT_TTL_S, *(grant.expires_s for grant in self.sent_grants)]
+        )
 
 
 class SlotBook:
-    """The owners at one service, under one leadership.
+    """Allocates the slots of one service to its owners, during one leadership.
 
     Args:
-        began_s: When the leadership began, in seconds.
+        leader_since_s: Start of the leadership, in seconds.
     """
 
-    def __init__(self, began_s: float) -> None:
-        self._began_s = began_s
+    def __init__(self, leader_since_s: float) -> None:
+        self._leader_since_s = leader_since_s
         self._owners: dict[str, _Owner] = {}
-        self._totals: Counter[str] = Counter()
-        # Owners known by name only, and until when slots are kept for them.
-        self._unheard_until_s: dict[str, float] = {}
+        self._num_reserved: Counter[str] = Counter()
+        # Known owners that have not reported yet, and until when slots are reserved for them.
+        self._unreported_until_s: dict[str, float] = {}
         self._plan = SlotPlan({}, False, 0)
-        self._planned_s = -float("inf")
+        self._plan_time_s = -float("inf")
 
     @property
     def owners(self) -> list[str]:
-        """The owners that reported."""
+        """Names of the owners that have reported, sorted."""
         return sorted(self._owners)
 
     @property
@@ -92,202 +93,231 @@
         return self._plan
 
     def in_flight(self, owner: str) -> int:
-        """Return how many requests an owner said it has in flight."""
+        """Return the number of in-flight requests in an owner's last report."""
         return sum(self._owners[owner].report.in_flight)
 
     def claimed(self, owner: str) -> int:
-        """Return how many slots an owner may be spending."""
-        return sum(self._owners[owner].claims.values())
+        """Return the number of slots reserved for an owner."""
+        return sum(self._owners[owner].reserved.values())
 
     def num_waiting(self) -> int:
-        """Return how many items wait, as far as owners said."""
+        """Return the number of waiting items in the last reports of all owners."""
         owners = self._owners.values()
         return sum(work.num_waiting for owner in owners for work in owner.report.work)
 
     def report_age_s(self, owner: str, now_s: float) -> float:
-        """Return how long ago an owner reported, in seconds."""
-        return now_s - self._owners[owner].heard_s
+        """Return the age of an owner's last report, in seconds."""
+        return now_s - self._owners[owner].received_s
 
     def take(self, report: SlotReport, fencing_token: int, now_s: float) -> Problem | None:
-        """Take in a report.
+        """Record a report.
 
         Args:
-            report: A report in which nothing is out of bounds.
-            fencing_token: Of the arbiter's leadership.
-            now_s: The time, in seconds.
+            report: A validated report.
+            fencing_token: Fencing token of the arbiter's leadership.
+            now_s: Current time, in seconds.
 
         Returns:
-            Why it is refused; ``None`` if it is not.
+            The reason if the report is rejected; ``None`` if it was recorded.
         """
-        before = self._owners.get(report.owner)
-        if before is not None and report.number <= before.report.number:
-            detail = f"number {report.number}, but {before.report.number} was there before"
+        previous = self._owners.get(report.owner)
+        if previous is not None and report.number <= previous.report.number:
+            detail = (
+                f"report number {report.number} is not above the last one, {previous.report.number}"
+            )
             return Problem(ResultCode.MESSAGE_INVALID, detail, "number")
-        if before is None and len(self._owners) >= MAX_OWNERS:
-            return Problem(ResultCode.OVERLOADED, f"there are {MAX_OWNERS} owners", report.owner)
-        self._unheard_until_s.pop(report.owner, None)
+        if previous is None and len(self._owners) >= MAX_OWNERS:
+            return Problem(
+                ResultCode.OVERLOADED, f"limit of {MAX_OWNERS} owners reached", report.owner
+            )
+        self._unreported_until_s.pop(report.owner, None)
         if report.is_leaving:
-            self._forget(report.owner)
+            self._remove_owner(report.owner)
             return None
-        sent = [] if before is None else before.sent
+        sent_grants = [] if previous is None else previous.sent_grants
         if report.fencing_token == fencing_token:
-            # The report itself tells the limits by the grant in force.
-            sent = [grant for grant in sent if grant.number > report.grant_number]
-        sent = [grant for grant in sent if grant.ends_s > now_s]
-        owner = _Owner(report, now_s, _demand_of(report, sent), sent=sent)
-        self._put(owner)
+            # The report contains the limits of the grant that it names.
+            sent_grants = [grant for grant in sent_grants if grant.number > report.grant_number]
+        sent_grants = [grant for grant in sent_grants if grant.expires_s > now_s]
+        owner = _Owner(report, now_s, _demand_of(report, sent_grants), sent_grants=sent_grants)
+        self._store_owner(owner)
         return None
 
     def forget_silent(self, now_s: float) -> list[str]:
-        """Forget the owners whose grants have ended; returns their names."""
-        silent = [name for name, owner in self._owners.items() if owner.last_s() <= now_s]
-        for name in silent:
-            self._forget(name)
-            self._unheard_until_s[name] = now_s
-        return silent
+        """Remove the owners whose grants have all expired; returns their names."""
+        expired = [name for name, owner in self._owners.items() if owner.last_expiry_s() <= now_s]
+        for name in expired:
+            self._remove_owner(name)
+            self._unreported_until_s[name] = now_s
+        return expired
 
     def expect(self, known: Collection[str], now_s: float) -> None:
-        """Note which owners there should be."""
-        self._unheard_until_s = {
-            name: until_s for name, until_s in self._unheard_until_s.items() if name in known
+        """Update the owners that are known but have not reported.
+
+        Args:
+            known: Names of all owners that are expected to report.
+            now_s: Current time, in seconds.
+        """
+        self._unreported_until_s = {
+            name: until_s for name, until_s in self._unreported_until_s.items() if name in known
         }
         for name in known:
-            if name not in self._owners and name not in self._unheard_until_s:
-                until_s = max(now_s + UNHEARD_WAIT_S, self._began_s + GRANT_TTL_S)
-                self._unheard_until_s[name] = until_s
+            if name not in self._owners and name not in self._unreported_until_s:
+                until_s = max(now_s + UNHEARD_WAIT_S, self._leader_since_s + GRANT_TTL_S)
+                self._unreported_until_s[name] = until_s
 
     def update_plan(self, capacity: Mapping[str, int], now_s: float) -> None:
-        """Plan anew, unless that was done just now.
+        """Compute the plan again if its owners changed or its lifetime is over.
 
         Args:
-            capacity: Slots of each life.
-            now_s: The time, in seconds.
+            capacity: Slots of each incarnation.
+            now_s: Current time, in seconds.
         """
         num_jobs = sum(len(owner.demand.work) for owner in self._owners.values())
         max_age_s = min(MAX_PLAN_AGE_S, num_jobs * len(capacity) * PLAN_AGE_PER_CELL_S)
-        is_new = self._plan.slots.keys() != self._owners.keys()
-        if is_new or now_s - self._planned_s >= max_age_s:
+        are_owners_changed = self._plan.slots.keys() != self._owners.keys()
+        if are_owners_changed or now_s - self._plan_time_s >= max_age_s:
             demands = {name: owner.demand for name, owner in self._owners.items()}
             self._plan = plan_slots(capacity, demands)
-            self._planned_s = now_s
-            # Lives that have ended must not stay for ever.
-            self._totals += Counter()
+            self._plan_time_s = now_s
+            # Removes the zero counts of ended incarnations.
+            self._num_reserved += Counter()
 
     def grant(
         self, owner_name: str, capacity: Mapping[str, int], now_s: float
     ) -> tuple[int | None, ...] | None:
-        """Return an owner's limits, in the order of its report, and count them as spent.
+        """Return an owner's new limits, in the order of its report, and reserve them.
 
-        An owner without a grant gets none while others may spend grants of an earlier leader.
+        An owner without a grant gets none while grants of an earlier leader may be in force.
 
         Args:
-            owner_name: The owner; it has reported.
-            capacity: Slots of each life.
-            now_s: The time, in seconds.
+            owner_name: An owner that has reported.
+            capacity: Slots of each incarnation.
+            now_s: Current time, in seconds.
 
         Returns:
-            The limits, ``None`` for a life that the arbiter does not know; ``None`` for no grant.
+            The limits, ``None`` for an incarnation that the arbiter does not know; ``None`` instead
+            of limits if nothing can be granted yet.
         """
         owner = self._owners[owner_name]
-        unheard = [name for name, end_s in self._unheard_until_s.items() if now_s < end_s]
-        lives = [life for life in owner.report.lives if life in capacity]
-        if self._may_meet_earlier_grants(unheard, now_s):
+        unreported = [name for name, until_s in self._unreported_until_s.items() if now_s < until_s]
+        incarnations = [
+            incarnation for incarnation in owner.report.lives if incarnation in capacity
+        ]
+        if self._may_earlier_grants_apply(unreported, now_s):
             if owner.report.fencing_token is None:
                 return None
-            # What runs beyond its limit ends without a successor: granted, its slot would be used
-            # again beside the owner that an earlier leader has promised it to.
-            before = dict(zip(owner.report.lives, owner.report.limits, strict=True))
-            limits = {life: min(before[life], self._left(owner, life, capacity)) for life in lives}
-        elif unheard:
-            limits = {life: self._limit_beside(owner, life, capacity, unheard) for life in lives}
+            # Requests above the reported limit are not covered: an earlier leader may have granted
+            # their slots to another owner.
+            previous = dict(zip(owner.report.lives, owner.report.limits, strict=True))
+            limits = {
+                incarnation: min(
+                    previous[incarnation], self._num_available(owner, incarnation, capacity)
+                )
+                for incarnation in incarnations
+            }
+        elif unreported:
+            limits = {
+                incarnation: self._limit_with_unreported(owner, incarnation, capacity, unreported)
+                for incarnation in incarnations
+            }
         else:
             limits = {
-                life: min(self._plan.at(owner_name, life), self._left(owner, life, capacity))
-                for life in lives
+                incarnation: min(
+                    self._plan.at(owner_name, incarnation),
+                    self._num_available(owner, incarnation, capacity),
+                )
+                for incarnation in incarnations
             }
-        owner.sent.append(_SentGrant(owner.report.number, limits, now_s + GRANT_TTL_S))
+        owner.sent_grants.append(_SentGrant(owner.report.number, limits, now_s + GRANT_TTL_S))
         owner.demand = replace(owner.demand, held=limits)
-        self._put(owner)
-        return tuple(limits.get(life) for life in owner.report.lives)
+        self._store_owner(owner)
+        return tuple(limits.get(incarnation) for incarnation in owner.report.lives)
 
     def num_owed(self, owner_name: str) -> int:
-        """Return how many slots planned for an owner its last grant does not hold."""
+        """Return how many slots planned for an owner its last grant does not include."""
         owner = self._owners[owner_name]
-        limits = owner.sent[-1].limits if owner.sent else {}
+        limits = owner.sent_grants[-1].limits if owner.sent_grants else {}
         planned = self._plan.slots.get(owner_name, {})
-        return sum(max(0, count - limits.get(life, 0)) for life, count in planned.items())
+        return sum(
+            max(0, count - limits.get(incarnation, 0)) for incarnation, count in planned.items()
+        )
 
-    def _may_meet_earlier_grants(self, unheard: Collection[str], now_s: float) -> bool:
-        """Whether owners that are not heard of yet may spend grants of the leader before.
+    def _may_earlier_grants_apply(self, unreported: Collection[str], now_s: float) -> bool:
+        """Whether owners that have not reported yet may hold grants of an earlier leader.
 
-        A leader that had to wait for its leadership is past that. One that did not has the owners
-        keep what they have meanwhile, which is what the leader before had granted.
+        Until then owners keep the limits that they reported, which the earlier leader had granted.
+        A leader that had to wait before it may act is already past this period.
         """
-        age_s = now_s - self._began_s
-        return age_s < UNHEARD_WAIT_S or (bool(unheard) and age_s < GRANT_TTL_S)
-
-    def _limit_beside(
-        self, owner: _Owner, life: str, capacity: Mapping[str, int], unheard: Collection[str]
+        age_s = now_s - self._leader_since_s
+        return age_s < UNHEARD_WAIT_S or (bool(unreported) and age_s < GRANT_TTL_S)
+
+    def _limit_with_unreported(
+        self,
+        owner: _Owner,
+        incarnation: str,
+        capacity: Mapping[str, int],
+        unreported: Collection[str],
     ) -> int:
-        """An owner's limit while others that are known of use equal shares without a grant."""
-        owners = [*self._owners, *unheard]
-        slots = capacity[life]
-        left = self._left(owner, life, capacity)
-        left -= sum(equal_share(life, slots, other, owners) for other in unheard)
-        share = equal_share(life, slots, owner.report.owner, owners)
-        return max(0, min(max(owner.demand.in_flight[life], share), left))
-
-    def _left(self, owner: _Owner, life: str, capacity: Mapping[str, int]) -> int:
-        """How many slots of a life all others leave to an owner."""
-        spent_by_others = self._totals[life] - owner.claims.get(life, 0)
-        return max(0, capacity[life] - spent_by_others)
-
-    def _put(self, owner: _Owner) -> None:
-        """Keep what is known of an owner, and count anew what it may be spending."""
+        """Limit of an owner while owners without a report may use equal shares."""
+        owners = [*self._owners, *unreported]
+        slots = capacity[incarnation]
+        num_available = self._num_available(owner, incarnation, capacity)
+        num_available -= sum(equal_share(incarnation, slots, other, owners) for other in unreported)
+        share = equal_share(incarnation, slots, owner.report.owner, owners)
+        return max(0, min(max(owner.demand.in_flight[incarnation], share), num_available))
+
+    def _num_available(self, owner: _Owner, incarnation: str, capacity: Mapping[str, int]) -> int:
+        """Slots of an incarnation that are not reserved for other owners."""
+        reserved_by_others = self._num_reserved[incarnation] - owner.reserved.get(incarnation, 0)
+        return max(0, capacity[incarnation] - reserved_by_others)
+
+    def _store_owner(self, owner: _Owner) -> None:
+        """Store an owner's state and update the reserved slots."""
         report = owner.report
-        before = self._owners.get(report.owner)
-        if before is not None:
-            self._totals.subtract(before.claims)
-        owner.claims = _claims(owner)
-        self._totals.update(owner.claims)
+        previous = self._owners.get(report.owner)
+        if previous is not None:
+            self._num_reserved.subtract(previous.reserved)
+        owner.reserved = _reserved_slots(owner)
+        self._num_reserved.update(owner.reserved)
         self._owners[report.owner] = owner
 
-    def _forget(self, name: str) -> None:
+    def _remove_owner(self, name: str) -> None:
         owner = self._owners.pop(name, None)
         if owner is not None:
-            self._totals.subtract(owner.claims)
+            self._num_reserved.subtract(owner.reserved)
 
 
-def _claims(owner: _Owner) -> dict[str, int]:
-    """How much an owner may be spending, by life."""
+def _reserved_slots(owner: _Owner) -> dict[str, int]:
+    """Slots reserved for an owner, by incarnation."""
     report = owner.report
-    claims = {
-        life: max(in_flight, limit)
-        for life, in_flight, limit in zip(
+    reserved = {
+        incarnation: max(in_flight, limit)
+        for incarnation, in_flight, limit in zip(
             report.lives, report.in_flight, report.limits, strict=True
         )
     }
-    for grant in owner.sent:
-        for life, limit in grant.limits.items():
-            claims[life] = max(claims.get(life, 0), limit)
-    return claims
+    for grant in owner.sent_grants:
+        for incarnation, limit in grant.limits.items():
+            reserved[incarnation] = max(reserved.get(incarnation, 0), limit)
+    return reserved
 
 
-def _demand_of(report: SlotReport, sent: Sequence[_SentGrant]) -> OwnerDemand:
+def _demand_of(report: SlotReport, sent_grants: Sequence[_SentGrant]) -> OwnerDemand:
     held: Mapping[str, int] = {}
-    if sent:
-        held = sent[-1].limits
+    if sent_grants:
+        held = sent_grants[-1].limits
     elif report.fencing_token is not None:
         held = dict(zip(report.lives, report.limits, strict=True))
     in_flight = dict(zip(report.lives, report.in_flight, strict=True))
     return OwnerDemand(in_flight, [_work_demand(work, report.lives) for work in report.work], held)
 
 
-def _work_demand(work: OpenWork, lives: tuple[str, ...]) -> WorkDemand:
+def _work_demand(work: OpenWork, incarnations: tuple[str, ...]) -> WorkDemand:
     return WorkDemand(
         work.priority,
         float("inf") if work.due_in_s is None else work.due_in_s,
         work.num_running,
         work.num_waiting,
-        [lives[index] for index in work.lives],
+        [incarnations[index] for index in work.lives],
     )
--- a/src/hollowrack/slots/holder.py
+++ b/src/hollowrack/slots/holder.py
@@ -1,4 +1,4 @@
-"""An owner's side: how many requests it may have in flight at each worker."""
+"""Slot grants held by this node: limits on its requests in flight at each worker."""
 
 import itertools
 from collections.abc import Callable, Collection, Iterable
@@ -22,42 +22,39 @@
     grant_problem,
 )
 
-# The first grant takes one message to the leader and its answer, and a leader that hears of a new
-# owner may refuse for half a second. Work that began before it would overfill workers whose slots
-# others have; without a leader it must not wait for long.
+# Covers a round trip to the leader and the time for which a new leader refuses to grant. Work
+# started earlier would overload workers whose slots are granted to other owners.
 FIRST_GRANT_WAIT_S = 0.6
-# A busy queue asks thousands of times a second; owners become known a few times a second at most.
+# Limits are read thousands of times per second, while the set of owners rarely changes.
 SHARES_KEPT_S = 0.1
-# Until the next leader acts nobody grants what owners had last, so that they go on with it: equal
-# shares beside what runs already would overfill workers. A leader is there again within this time;
-# longer than that, shares must not stay as they were, as work changes.
+# While no arbiter acts, the limits of an expired grant stay valid for this long: a switch to equal
+# shares would overload workers where requests run already. Covers the election of a leader.
 NO_ARBITER_S = 10.0
-# Reports tell at least this often whether there is an arbiter.
+# Longer than the longest report interval: each report shows whether an arbiter acts.
 NO_ARBITER_FRESH_S = 1.5
-# Shares change several times a second; one line a second, in seconds, keeps a day readable.
 SHARE_LOG_INTERVAL_S = 1.0
 
 
 @dataclass(frozen=True)
 class _HeldGrant:
-    """The grant in force.
+    """The last grant accepted for a service.
 
     Attributes:
-        fencing_token: Of the arbiter.
+        fencing_token: Token of the arbiter's leadership.
         number: Number of the report that it answers.
-        limits: By life.
-        from_s: When that report was sent, in seconds.
-        ends_s: When it ends, in seconds.
+        limits: Slots by incarnation.
+        sent_s: Time at which that report was sent, in seconds.
+        expires_s: Time at which the grant expires, in seconds.
         is_contended: Whether there is more work than slots.
         has_waiting: Whether work of any owner waits for a slot.
-        num_owed: Slots planned for this node that others may still be spending.
+        num_owed: Slots planned for this node that are still reserved for others.
     """
 
     fencing_token: int
     number: int
     limits: dict[WorkerLife, int]
-    from_s: float
-    ends_s: float
+    sent_s: float
+    expires_s: float
     is_contended: bool
     has_waiting: bool
     num_owed: int
@@ -65,32 +62,32 @@
 
 @dataclass
 class _ServiceState:
-    """What is held for one service.
+    """State of one service.
 
     Attributes:
-        joined_s: Since when this node has had jobs, in seconds.
-        grant: The last grant.
-        asked: The last report, if it may still be answered.
-        asked_lives: The lives that it names.
-        asked_s: When it was sent, in seconds.
-        no_arbiter_s: When there certainly was none that grants, in seconds.
+        joined_s: Time at which this node started to share its slots, in seconds.
+        grant: Last grant, possibly expired.
+        last_report: Last report; ``None`` before the first one.
+        report_incarnations: Incarnations in the order of that report.
+        report_sent_s: Time at which it was sent, in seconds.
+        no_arbiter_s: Last time at which no arbiter was able to grant, in seconds.
     """
 
     joined_s: float
     grant: _HeldGrant | None = None
-    asked: SlotReport | None = None
-    asked_lives: tuple[WorkerLife, ...] = ()
-    asked_s: float = 0.0
+    last_report: SlotReport | None = None
+    report_incarnations: tuple[WorkerLife, ...] = ()
+    report_sent_s: float = 0.0
     no_arbiter_s: float = -float("inf")
 
 
 @dataclass(frozen=True)
 class SlotUse:
-    """How this node uses a service's slots, for figures.
+    """This node's use of a service's slots, for metrics.
 
     Attributes:
-        granted: Slots that it may use; 0 without a grant.
-        used: Requests in flight.
+        granted: Slots granted to this node; 0 without a grant in force.
+        used: Requests of this node in flight.
         is_contended: Whether there is more work than slots.
         grant_age_s: Age of the grant in force, in seconds; ``None`` without one.
     """
@@ -102,17 +99,19 @@
 
 
 class SlotHolder:
-    """The grants that this node holds; see :class:`hollowrack.forwarding.slot_limits.SlotLimits`.
+    """Holds this node's grants, builds its reports, and derives the limit at each worker.
+
+    Implements :class:`hollowrack.forwarding.slot_limits.SlotLimits`.
 
     Args:
         owner: Name of this process.
-        workers: The workers known.
-        is_shared: Whether a service's slots are shared among owners.
-        known_owners: Returns the processes that own unfinished jobs.
-        source: Tells this node's work.
+        workers: Directory of known workers.
+        is_shared: Returns whether the slots of a service are shared among owners.
+        known_owners: Returns the names of the processes that own unfinished jobs.
+        source: Open work of this node.
 
     Attributes:
-        num_refused: How many grants were refused as void.
+        num_refused: Grants rejected as invalid, outdated or not requested.
     """
 
     def __init__(
@@ -133,44 +132,44 @@
         self._newest_token = 0
         self._states: dict[str, _ServiceState] = {}
         self._shares: dict[WorkerLife, int] = {}
-        self._shares_until_s = -float("inf")
+        self._shares_expire_s = -float("inf")
         self._granted_listeners: list[Callable[[], None]] = []
         self._urgent_listeners: list[Callable[[], None]] = []
-        self._shares_logged = LogPace(SHARE_LOG_INTERVAL_S)
-        self._refusals_logged = LogPace(SHARE_LOG_INTERVAL_S)
-        self._logged_shares: dict[str, tuple[int, bool]] = {}
-        workers.on_end(self._note_end)
+        self._share_log_limiter = LogPace(SHARE_LOG_INTERVAL_S)
+        self._refusal_log_limiter = LogPace(SHARE_LOG_INTERVAL_S)
+        self._last_logged_shares: dict[str, tuple[int, bool]] = {}
+        workers.on_end(self._handle_request_end)
 
     def on_granted(self, listener: Callable[[], None]) -> None:
-        """Call a listener with each new grant."""
+        """Register a listener that is called after each accepted grant."""
         self._granted_listeners.append(listener)
 
     def on_urgent(self, listener: Callable[[], None]) -> None:
-        """Call a listener when a report is due at once."""
+        """Register a listener that is called when a report is due immediately."""
         self._urgent_listeners.append(listener)
 
     def note_waiting(self) -> None:
-        """Work has come that has no slot."""
-        self._note_urgent()
+        """Request an immediate report, as new work has no slot."""
+        self._notify_urgent()
 
-    def _note_end(self, worker: Worker) -> None:
-        """A request is over: its slot may be free for another owner, who waits for it."""
+    def _handle_request_end(self, worker: Worker) -> None:
+        """Request an immediate report if a request that ended freed a slot for another owner."""
         state = self._states.get(worker.service)
         if state is None or state.grant is None or not state.grant.has_waiting:
             return
         limit = state.grant.limits.get(worker.life, 0)
         is_surplus = self._workers.num_in_flight(worker) >= limit
         if is_surplus or not self._source.has_waiting(worker.service):
-            self._note_urgent()
+            self._notify_urgent()
 
-    def _note_urgent(self) -> None:
+    def _notify_urgent(self) -> None:
         for listener in self._urgent_listeners:
             listener()
 
     # -- limits -----------------------------------------------------------------------------
 
     def limit(self, worker: Worker) -> int:
-        """Return how many requests this node may have in flight at a worker."""
+        """Return the maximum number of requests of this node in flight at a worker."""
         if not self.takes_part(worker.service):
             return worker.capacity
         granted = self.granted(worker)
@@ -179,50 +178,52 @@
         state = self._state(worker.service)
         if state.grant is None and now_s() < state.joined_s + FIRST_GRANT_WAIT_S:
             return 0
-        last = self._last_limit(state, worker)
-        return self._equal_share(worker) if last is None else last
+        expired_limit = self._expired_limit(state, worker)
+        return self._equal_share(worker) if expired_limit is None else expired_limit
 
-    def _last_limit(self, state: _ServiceState, worker: Worker) -> int | None:
-        """The limit by the grant that has ended, if no arbiter can have granted since."""
+    def _expired_limit(self, state: _ServiceState, worker: Worker) -> int | None:
+        """Limit of the expired grant; ``None`` if an arbiter may have granted its slots since."""
         now = now_s()
-        if state.grant is None or now >= state.grant.ends_s + NO_ARBITER_S:
+        if state.grant is None or now >= state.grant.expires_s + NO_ARBITER_S:
             return None
         if now >= state.no_arbiter_s + NO_ARBITER_FRESH_S:
             return None
         return state.grant.limits.get(worker.life)
 
     def note_no_arbiter(self, service: str) -> None:
-        """No node grants slots now: none leads, or the one that does must wait until it may act."""
+        """Record that no node grants slots now: there is no leader, or it may not act yet."""
         state = self._states.get(service)
         if state is not None:
             state.no_arbiter_s = now_s()
 
     def granted(self, worker: Worker) -> int | None:
-        """Return the limit by the grant in force.
+        """Return the limit of the grant in force at a worker.
 
         Returns:
-            The limit, 0 where the grant does not name the worker's life: the arbiter hears of it
-            with the next report, and may have granted it to others; ``None`` without a grant.
+            The limit; 0 if the grant does not contain the worker's incarnation, whose slots may be
+            granted to others; ``None`` without a grant in force.
         """
         state = self._states.get(worker.service)
-        if state is None or state.grant is None or now_s() >= state.grant.ends_s:
+        if state is None or state.grant is None or now_s() >= state.grant.expires_s:
             return None
         return state.grant.limits.get(worker.life, 0)
 
     def takes_part(self, service: str) -> bool:
-        """Whether this node spends slots of a service that are shared."""
+        """Return whether this node owns jobs and the slots of the service are shared."""
         return self._source.num_running > 0 and self._is_shared(service)
 
     def _equal_share(self, worker: Worker) -> int:
         now = now_s()
-        if now >= self._shares_until_s:
+        if now >= self._shares_expire_s:
             self._shares.clear()
-            self._shares_until_s = now + SHARES_KEPT_S
-        life = worker.life
-        if life not in self._shares:
+            self._shares_expire_s = now + SHARES_KEPT_S
+        incarnation = worker.life
+        if incarnation not in self._shares:
             owners = self._known_owners()
-            self._shares[life] = equal_share(str(life), worker.capacity, self._owner, owners)
-        return self._shares[life]
+            self._shares[incarnation] = equal_share(
+                str(incarnation), worker.capacity, self._owner, owners
+            )
+        return self._shares[incarnation]
 
     def _state(self, service: str) -> _ServiceState:
         state = self._states.get(service)
@@ -231,33 +232,33 @@
         return state
 
     def held_services(self) -> list[str]:
-        """Return the services at which this node may hold something."""
+        """Return the names of the services at which this node may hold slots."""
         return list(self._states)
 
     # -- reports ----------------------------------------------------------------------------
 
     def may_move_slots(self, service: str) -> bool:
-        """Whether slots may move soon: work waits for them, or another owner may need them."""
+        """Return whether slots may be reassigned soon: work waits, or there are other owners."""
         return _has_waiting(self._state(service)) or len(self._known_owners()) > 1
 
     def is_owed_slots(self, service: str) -> bool:
-        """Whether work waits here for slots that others are about to free."""
+        """Return whether work waits for slots that are planned for this node, but not granted."""
         state = self._state(service)
         return state.grant is not None and state.grant.num_owed > 0 and _has_waiting(state)
 
     def report(self, service: str) -> SlotReport:
-        """Return a report as of now; only its answer is accepted from now on."""
+        """Build a report of the current state; only its answer is accepted from now on."""
         state = self._state(service)
         workers = self._workers.serving(service)[:MAX_LIVES]
-        lives = tuple(worker.life for worker in workers)
-        texts = tuple(str(life) for life in lives)
-        positions = {text: index for index, text in enumerate(texts)}
-        work = _most_urgent(self._source.open_work(service, positions))
+        incarnations = tuple(worker.life for worker in workers)
+        texts = tuple(str(incarnation) for incarnation in incarnations)
+        indices = {text: index for index, text in enumerate(texts)}
+        work = _most_urgent(self._source.open_work(service, indices))
         if not any(one.num_waiting for one in work):
-            self._give_up_unused(state, workers)
+            self._release_unused(state, workers)
         grant = state.grant
-        is_in_force = grant is not None and now_s() < grant.ends_s
-        state.asked = SlotReport(
+        is_in_force = grant is not None and now_s() < grant.expires_s
+        state.last_report = SlotReport(
             self._owner,
             service,
             next(self._numbers),
@@ -268,14 +269,14 @@
             tuple(self.limit(worker) for worker in workers),
             work,
         )
-        state.asked_lives = lives
-        state.asked_s = now_s()
-        return state.asked
+        state.report_incarnations = incarnations
+        state.report_sent_s = now_s()
+        return state.last_report
 
-    def _give_up_unused(self, state: _ServiceState, workers: list[Worker]) -> None:
-        """Give up slots that this node does not use while work of others waits for them.
+    def _release_unused(self, state: _ServiceState, workers: list[Worker]) -> None:
+        """Release unused slots if other owners have waiting work.
 
-        They are free with this report, a message earlier than by a lower grant.
+        Done with the report, one message earlier than through a lower grant.
         """
         grant = state.grant
         if grant is None or not grant.has_waiting:
@@ -288,7 +289,7 @@
         state.grant = replace(grant, limits={**grant.limits, **limits})
 
     def leave(self, service: str) -> SlotReport | None:
-        """Give up the slots of a service; returns the report that says so, if any are held."""
+        """Drop the state of a service; returns the report that releases its slots, if any."""
         if self._states.pop(service, None) is None:
             return None
         return SlotReport(
@@ -296,30 +297,30 @@
         )
 
     def accept(self, grant: SlotGrant) -> bool:
-        """Put a grant in force; returns whether it is."""
+        """Put a grant in force if it is valid; returns whether it was accepted."""
         state = self._states.get(grant.service)
-        if state is None or state.asked is None:
-            return self._refuse(grant, "no report of this node waits for it")
-        problem = grant_problem(grant, state.asked)
+        if state is None or state.last_report is None:
+            return self._refuse(grant, "no report of this node awaits an answer")
+        problem = grant_problem(grant, state.last_report)
         if problem is not None:
             return self._refuse(grant, str(problem))
         if grant.fencing_token < self._newest_token:
             problem = Problem(
-                ResultCode.ORDER_FENCED, f"token {self._newest_token} was there before"
+                ResultCode.ORDER_FENCED, f"its fencing token is older than {self._newest_token}"
             )
             return self._refuse(grant, str(problem))
         self._newest_token = grant.fencing_token
-        before = state.grant
+        previous = state.grant
         state.grant = _HeldGrant(
             grant.fencing_token,
             grant.number,
             {
-                life: limit
-                for life, limit in zip(state.asked_lives, grant.limits, strict=True)
+                incarnation: limit
+                for incarnation, limit in zip(state.report_incarnations, grant.limits, strict=True)
                 if limit is not None
             },
-            state.asked_s,
-            state.asked_s + grant.ttl_s,
+            state.report_sent_s,
+            state.report_sent_s + grant.ttl_s,
             grant.is_contended,
             grant.has_waiting,
             grant.num_owed,
@@ -327,16 +328,16 @@
         self._log_share(grant.service, state.grant, grant.arbiter)
         for listener in self._granted_listeners:
             listener()
-        if before is not None and _gives_up_slots(before, state.grant):
-            # Others get them once the arbiter knows that this grant is in force.
-            self._note_urgent()
+        if previous is not None and _releases_slots(previous, state.grant):
+            # The arbiter grants the released slots once it knows that this grant is in force.
+            self._notify_urgent()
         return True
 
     def _refuse(self, grant: SlotGrant, reason: str) -> bool:
         self.num_refused += 1
-        if self._refusals_logged.is_due(now_s()):
+        if self._refusal_log_limiter.is_due(now_s()):
             logging.warning(
-                "slots: grant %d of %.64s under token %d refused, %d so far: %s",
+                "slots: grant %d of %.64s with fencing token %d rejected, %d rejected so far: %s",
                 grant.number,
                 grant.arbiter,
                 grant.fencing_token,
@@ -347,35 +348,37 @@
 
     def _log_share(self, service: str, grant: _HeldGrant, arbiter: str) -> None:
         share = (sum(grant.limits.values()), grant.is_contended)
-        if self._logged_shares.get(service) == share or not self._shares_logged.is_due(now_s()):
+        if self._last_logged_shares.get(service) == share or not self._share_log_limiter.is_due(
+            now_s()
+        ):
             return
-        self._logged_shares[service] = share
+        self._last_logged_shares[service] = share
         logging.info(
-            "slots of %s: %d granted at %d workers by %s, %s, report %d of %.3f s ago",
+            "slots of %s: %d granted at %d workers by %s, %s, answering report %d sent %.3f s ago",
             service,
             share[0],
             len(grant.limits),
             arbiter,
-            "more work than slots" if grant.is_contended else "enough for all work",
+            "more work than slots" if grant.is_contended else "enough slots for all work",
             grant.number,
-            now_s() - grant.from_s,
+            now_s() - grant.sent_s,
         )
 
-    # -- figures ----------------------------------------------------------------------------
+    # -- metrics ----------------------------------------------------------------------------
 
     def use(self, service: str) -> SlotUse:
-        """Return how this node uses a service's slots."""
+        """Return this node's use of a service's slots."""
         used = sum(self._workers.num_in_flight(worker) for worker in self._workers.serving(service))
         state = self._states.get(service)
         grant = None if state is None else state.grant
-        if grant is None or now_s() >= grant.ends_s:
+        if grant is None or now_s() >= grant.expires_s:
             return SlotUse(0, used, False, None)
-        age_s = now_s() - grant.from_s
+        age_s = now_s() - grant.sent_s
         return SlotUse(sum(grant.limits.values()), used, grant.is_contended, age_s)
 
 
 def _most_urgent(works: Iterable[OpenWork]) -> tuple[OpenWork, ...]:
-    """As much work as one report may tell of."""
+    """Most urgent work, as much as one report may contain."""
 
     def urgency(work: OpenWork) -> tuple[int, float]:
         return (work.priority, float("inf") if work.due_in_s is None else work.due_in_s)
@@ -384,10 +387,14 @@
 
 
 def _has_waiting(state: _ServiceState) -> bool:
-    """Whether the last report told of waiting work."""
-    return state.asked is not None and any(work.num_waiting > 0 for work in state.asked.work)
+    """Whether the last report contained waiting work."""
+    return state.last_report is not None and any(
+        work.num_waiting > 0 for work in state.last_report.work
+    )
 
 
-def _gives_up_slots(before: _HeldGrant, grant: _HeldGrant) -> bool:
-    """Whether a grant holds fewer slots than the one before at some life."""
-    return any(grant.limits.get(life, 0) < limit for life, limit in before.limits.items())
+def _releases_slots(previous: _HeldGrant, grant: _HeldGrant) -> bool:
+    """Whether a grant has a lower limit than the previous one at some incarnation."""
+    return any(
+        grant.limits.get(incarnation, 0) < limit for incarnation, limit in previous.limits.items()
+    )
--- a/src/hollowrack/slots/peers.py
+++ b/src/hollowrack/slots/peers.py
@@ -1,4 +1,4 @@
-"""Reports on slots between nodes over HTTP."""
+"""HTTP transport of slot reports between nodes."""
 
 from collections.abc import Callable
 
@@ -14,22 +14,22 @@
 from hollowrack.slots.types import SlotAnswer, SlotGrant, SlotRefusal, SlotReport
 
 SLOTS_PATH = "/slots"
-# Nodes are a few milliseconds apart. A later answer is of no use, as the next report is due.
+# A later answer is useless, as the next report is already due.
 REPORT_TIMEOUT_S = 0.5
 
 
 class HttpSlotPeers:
-    """Reports to other nodes; see :class:`SlotPeers`.
+    """Client of the slot arbiter over HTTP; implements :class:`SlotPeers`.
 
     Args:
-        session: HTTP session for nodes.
+        session: HTTP session for requests to other nodes.
     """
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self._session = session
 
     async def report(self, address: str, report: SlotReport) -> SlotAnswer | None:
-        """Report to the arbiter; its caller logs that there was no answer."""
+        """Send a report; ``None`` without a valid answer. The caller logs failures."""
         try:
             answer = await ask_node(self._session, address, SLOTS_PATH, report, REPORT_TIMEOUT_S)
         except (NodeUnreachableError, NodeSilentError):
@@ -38,13 +38,13 @@
 
 
 def slot_routes(answer: Callable[[SlotReport], SlotAnswer]) -> list[Route]:
-    """Return the route that answers reports of other nodes.
+    """Return the HTTP route that receives reports of other nodes.
 
     Args:
-        answer: Answers a report.
+        answer: Handles a report and returns the answer to send.
     """
 
-    async def take(report: SlotReport) -> SlotAnswer:
+    async def receive_report(report: SlotReport) -> SlotAnswer:
         return answer(report)
 
-    return [question_route(SLOTS_PATH, (SlotReport,), take)]
+    return [question_route(SLOTS_PATH, (SlotReport,), receive_report)]
--- a/src/hollowrack/slots/plan.py
+++ b/src/hollowrack/slots/plan.py
@@ -1,7 +1,7 @@
-"""Which owner should have how many slots at each worker: a pure plan.
+"""Slot planner: computes how many slots each owner should have at each worker, without I/O.
 
-Shares first keep every owner going, then follow priority and the time until results are due; items
-stay where they run as far as the shares allow.
+Each owner with open work first gets a floor; the remaining slots go by priority and then by
+deadline. Items stay where they run as far as possible.
 """
 
 import heapq
@@ -9,10 +9,8 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-# A trainer that gets nothing while others are served falls behind for good: each one keeps this
-# share of what an equal division would give it.
+# Prevents starvation: each owner gets at least this fraction of an equal division.
 FLOOR_SHARE = 0.25
-# Where that is less than a slot: one item after the other still ends.
 MIN_FLOOR = 1
 
 
@@ -22,10 +20,10 @@
 
     Attributes:
         priority: Priority of its route, 0 first.
-        due_in_s: Time until its results are due, in seconds; infinite if no time is stated.
-        num_running: How many items run.
-        num_waiting: How many items wait for a slot.
-        lives: Where they may run.
+        due_in_s: Time until its deadline, in seconds; infinite without a deadline.
+        num_running: Number of running items.
+        num_waiting: Number of items that wait for a slot.
+        lives: Incarnations at which they may run.
     """
 
     priority: int
@@ -37,13 +35,13 @@
 
 @dataclass(frozen=True)
 class OwnerDemand:
-    """What one owner has and needs.
+    """Requests and demand of one owner.
 
     Attributes:
-        in_flight: What it has in flight, by life.
-        work: Its open work.
-        held: Its slots by the last grant, by life. Work stays with them: slots that move from one
-            owner to another and back stand idle on the way.
+        in_flight: Requests in flight, by incarnation.
+        work: Open work of the owner.
+        held: Slots of its last grant, by incarnation. The plan prefers them, as a slot that is
+            reassigned stays idle in between.
     """
 
     in_flight: Mapping[str, int]
@@ -51,45 +49,45 @@
     held: Mapping[str, int] = field(default_factory=dict)
 
     def kept(self) -> dict[str, int]:
-        """Return what the owner will have in flight by the last grant, by life.
+        """Return the requests in flight, by incarnation, once the last grant has taken effect.
 
-        What runs beyond that grant is about to end, and what waits is about to take the rest of it.
+        Requests above the grant will end; waiting items will use the rest of the grant.
         """
         has_waiting = any(work.num_waiting > 0 for work in self.work)
         kept = dict(self.in_flight)
-        for life, count in self.held.items():
-            kept[life] = count if has_waiting else min(count, kept.get(life, 0))
+        for incarnation, count in self.held.items():
+            kept[incarnation] = count if has_waiting else min(count, kept.get(incarnation, 0))
         return kept
 
 
 @dataclass(frozen=True)
 class SlotPlan:
-    """Planned slots.
+    """Planned slots of all owners.
 
     Attributes:
-        slots: By owner and life.
-        is_contended: Whether some work has no slot.
-        num_unplaced: How many items have no slot.
+        slots: Number of slots by owner and incarnation.
+        is_contended: Whether there are items without a planned slot.
+        num_unplaced: Number of items without a planned slot.
     """
 
     slots: Mapping[str, Mapping[str, int]]
     is_contended: bool
     num_unplaced: int
 
-    def at(self, owner: str, life: str) -> int:
-        """Return how many slots an owner should have at a life."""
-        return self.slots.get(owner, {}).get(life, 0)
+    def at(self, owner: str, incarnation: str) -> int:
+        """Return the number of slots planned for an owner at an incarnation."""
+        return self.slots.get(owner, {}).get(incarnation, 0)
 
 
 @dataclass
 class _OpenDemand:
-    """What is left to be placed of one owner's work.
+    """Items of one job that have no planned slot yet.
 
     Attributes:
-        owner: The owner.
-        demand: The work.
-        num_running: Running items that have no planned slot yet.
-        num_waiting: Waiting items that have none.
+        owner: Name of the job's owner.
+        demand: Demand of the job.
+        num_running: Running items without a planned slot.
+        num_waiting: Waiting items without a planned slot.
     """
 
     owner: str
@@ -105,8 +103,8 @@
     def num_open(self) -> int:
         return self.num_running + self.num_waiting
 
-    def note_placed(self, count: int) -> None:
-        """Some items have planned slots now: the running ones first."""
+    def record_placed(self, count: int) -> None:
+        """Count items as placed, running ones first."""
         num_running = min(count, self.num_running)
         self.num_running -= num_running
         self.num_waiting -= count - num_running
@@ -116,17 +114,16 @@
     """Plan the slots of a service.
 
     Args:
-        capacity: Slots of each life.
-        owners: What each owner has and needs, by its name.
+        capacity: Slots of each incarnation.
+        owners: Requests and demand of each owner, by its name.
     """
     return _Planner(capacity, owners).plan()
 
 
 class _Planner:
-    """The slots planned so far.
+    """State of one planning run.
 
-    Work that has a slot counts as planned; a slot where something runs that is not planned yet is
-    taken only when no other will do.
+    Slots occupied by running items that have not been planned yet are used last.
     """
 
     def __init__(self, capacity: Mapping[str, int], owners: Mapping[str, OwnerDemand]) -> None:
@@ -134,32 +131,33 @@
         self._owners = owners
         self._names = sorted(owners)
         self._planned: dict[str, dict[str, int]] = {name: {} for name in self._names}
-        self._room = dict(capacity)
+        self._unplanned = dict(capacity)
         self._free = dict(capacity)
-        # Each places up to some items of a demand, and returns how many it placed.
+        # Placement steps in order of preference: each takes a demand and a maximum number of items,
+        # and returns the number placed.
         self._steps = (
             self._keep_running_in_held,
             self._keep_held,
             self._keep_running,
-            self._place_anew,
+            self._place_remaining,
         )
         self._kept = {name: owner.kept() for name, owner in owners.items()}
         for kept in self._kept.values():
-            for life, count in kept.items():
-                if life in self._free:
-                    self._free[life] -= count
+            for incarnation, count in kept.items():
+                if incarnation in self._free:
+                    self._free[incarnation] -= count
 
     def plan(self) -> SlotPlan:
         demands = self._open_demands()
         self._place_floors(demands)
-        for _, equals in itertools.groupby(demands, key=_urgency):
-            self._place_equals(list(equals))
+        for _, group in itertools.groupby(demands, key=_urgency):
+            self._place_equally_urgent(list(group))
         num_unplaced = sum(demand.num_open for demand in demands)
-        self._deal_out_rest()
+        self._distribute_rest()
         return SlotPlan(self._planned, num_unplaced > 0, num_unplaced)
 
     def _open_demands(self) -> list[_OpenDemand]:
-        """All open work, the most urgent first."""
+        """Return all open work, the most urgent first."""
         demands = [
             _OpenDemand(name, work)
             for name in self._names
@@ -170,9 +168,9 @@
         return demands
 
     def _place_floors(self, demands: Sequence[_OpenDemand]) -> None:
-        """Give every owner with open work a floor, for its most urgent work.
+        """Plan the floor of every owner with open work.
 
-        Work that fits few workers goes first, as other work fits elsewhere.
+        Demands with few eligible workers are placed first.
         """
         names = {demand.owner for demand in demands}
         if not names:
@@ -180,111 +178,128 @@
         equal_division = sum(self._capacity.values()) / len(names)
         left = dict.fromkeys(names, max(MIN_FLOOR, int(FLOOR_SHARE * equal_division)))
         ordered = sorted(demands, key=lambda demand: len(demand.demand.lives))
-        for place in self._steps:
+        for step in self._steps:
             for demand in ordered:
-                left[demand.owner] -= place(demand, left[demand.owner])
-
-    def _place_equals(self, demands: Sequence[_OpenDemand]) -> None:
-        """Place work that is equally urgent: as evenly as it can be, then what is left."""
-        level = _even_level([demand.num_open for demand in demands], sum(self._room.values()))
-        left = [level] * len(demands)
-        for place in self._steps:
-            for position, demand in enumerate(demands):
-                left[position] -= place(demand, left[position])
+                left[demand.owner] -= step(demand, left[demand.owner])
+
+    def _place_equally_urgent(self, demands: Sequence[_OpenDemand]) -> None:
+        """Place equally urgent demands: first evenly, then as far as slots are left."""
+        cap = _even_cap([demand.num_open for demand in demands], sum(self._unplanned.values()))
+        left = [cap] * len(demands)
+        for step in self._steps:
+            for index, demand in enumerate(demands):
+                left[index] -= step(demand, left[index])
         for demand in demands:
-            for place in self._steps:
-                place(demand, demand.num_open)
+            for step in self._steps:
+                step(demand, demand.num_open)
 
     def _keep_running_in_held(self, demand: _OpenDemand, max_items: int) -> int:
-        """Plan slots that the owner holds for what runs there."""
+        """Plan slots held by the owner for items that run at them."""
         owner = self._owners[demand.owner]
-        lives = [life for life in demand.demand.lives if owner.held.get(life, 0) > 0]
-        counts = {life: min(owner.held[life], owner.in_flight.get(life, 0)) for life in lives}
-        return self._keep(demand, counts, min(max_items, demand.num_running))
+        incarnations = [
+            incarnation for incarnation in demand.demand.lives if owner.held.get(incarnation, 0) > 0
+        ]
+        counts = {
+            incarnation: min(owner.held[incarnation], owner.in_flight.get(incarnation, 0))
+            for incarnation in incarnations
+        }
+        return self._plan_kept(demand, counts, min(max_items, demand.num_running))
 
     def _keep_held(self, demand: _OpenDemand, max_items: int) -> int:
-        """Plan slots that the owner holds, those at the emptiest workers first."""
+        """Plan slots held by the owner, at the workers with most free slots first."""
         held = self._owners[demand.owner].held
-        lives = [life for life in demand.demand.lives if held.get(life, 0) > 0]
-        lives.sort(key=lambda life: -self._free.get(life, 0))
-        return self._keep(demand, {life: held[life] for life in lives}, max_items)
+        incarnations = [
+            incarnation for incarnation in demand.demand.lives if held.get(incarnation, 0) > 0
+        ]
+        incarnations.sort(key=lambda incarnation: -self._free.get(incarnation, 0))
+        return self._plan_kept(
+            demand, {incarnation: held[incarnation] for incarnation in incarnations}, max_items
+        )
 
     def _keep_running(self, demand: _OpenDemand, max_items: int) -> int:
-        """Plan slots for what runs: first where new items could run as well."""
+        """Plan slots for running items, at eligible incarnations first."""
         in_flight = self._owners[demand.owner].in_flight
         elsewhere = sorted(in_flight.keys() - set(demand.demand.lives))
-        counts = {life: in_flight.get(life, 0) for life in [*demand.demand.lives, *elsewhere]}
-        return self._keep(demand, counts, min(max_items, demand.num_running))
-
-    def _keep(self, demand: _OpenDemand, counts: Mapping[str, int], max_items: int) -> int:
-        """Plan up to as many slots of the owner as are counted at each life."""
+        counts = {
+            incarnation: in_flight.get(incarnation, 0)
+            for incarnation in [*demand.demand.lives, *elsewhere]
+        }
+        return self._plan_kept(demand, counts, min(max_items, demand.num_running))
+
+    def _plan_kept(self, demand: _OpenDemand, counts: Mapping[str, int], max_items: int) -> int:
+        """Plan at most the given number of slots at each incarnation."""
         planned = self._planned[demand.owner]
         num_left = min(max_items, demand.num_open)
         num_kept = 0
-        for life, count in counts.items():
+        for incarnation, count in counts.items():
             if num_kept >= num_left:
                 break
-            num_unplanned = min(count - planned.get(life, 0), self._room.get(life, 0))
-            num_here = min(num_unplanned, num_left - num_kept)
-            if num_here > 0:
-                self._take(demand.owner, life, num_here)
-                num_kept += num_here
-        demand.note_placed(num_kept)
+            num_unplanned = min(
+                count - planned.get(incarnation, 0), self._unplanned.get(incarnation, 0)
+            )
+            num_added = min(num_unplanned, num_left - num_kept)
+            if num_added > 0:
+                self._plan_slots_at(demand.owner, incarnation, num_added)
+                num_kept += num_added
+        demand.record_placed(num_kept)
         return num_kept
 
-    def _place_anew(self, demand: _OpenDemand, max_items: int) -> int:
-        """Plan slots where there is most room, one after the other."""
+    def _place_remaining(self, demand: _OpenDemand, max_items: int) -> int:
+        """Plan slots one by one at the incarnation with most free slots."""
         num_wanted = min(max_items, demand.num_open)
         if num_wanted <= 0:
             return 0
         heap = [
-            (-self._free[life], -self._room[life], position, life)
-            for position, life in enumerate(demand.demand.lives)
-            if self._room.get(life, 0) > 0
+            (-self._free[incarnation], -self._unplanned[incarnation], index, incarnation)
+            for index, incarnation in enumerate(demand.demand.lives)
+            if self._unplanned.get(incarnation, 0) > 0
         ]
         heapq.heapify(heap)
         num_placed = 0
         while heap and num_placed < num_wanted:
-            _, _, position, life = heapq.heappop(heap)
-            self._take(demand.owner, life, 1)
+            _, _, index, incarnation = heapq.heappop(heap)
+            self._plan_slots_at(demand.owner, incarnation, 1)
             num_placed += 1
-            if self._room[life] > 0:
-                heapq.heappush(heap, (-self._free[life], -self._room[life], position, life))
-        demand.note_placed(num_placed)
+            if self._unplanned[incarnation] > 0:
+                heapq.heappush(
+                    heap,
+                    (-self._free[incarnation], -self._unplanned[incarnation], index, incarnation),
+                )
+        demand.record_placed(num_placed)
         return num_placed
 
-    def _take(self, owner: str, life: str, count: int) -> None:
-        planned = self._planned[owner].get(life, 0)
-        num_beyond_kept = planned + count - max(self._kept[owner].get(life, 0), planned)
-        self._planned[owner][life] = planned + count
-        self._room[life] -= count
-        self._free[life] -= max(0, num_beyond_kept)
+    def _plan_slots_at(self, owner: str, incarnation: str, count: int) -> None:
+        planned = self._planned[owner].get(incarnation, 0)
+        num_beyond_kept = planned + count - max(self._kept[owner].get(incarnation, 0), planned)
+        self._planned[owner][incarnation] = planned + count
+        self._unplanned[incarnation] -= count
+        self._free[incarnation] -= max(0, num_beyond_kept)
 
-    def _deal_out_rest(self) -> None:
-        """Deal out the slots that no work needs, evenly over the owners."""
+    def _distribute_rest(self) -> None:
+        """Distribute the slots that no work needs evenly over the owners."""
         if not self._names:
             return
-        turn = 0
-        for life in sorted(self._room):
-            for _ in range(self._room[life]):
-                planned = self._planned[self._names[turn % len(self._names)]]
-                planned[life] = planned.get(life, 0) + 1
-                turn += 1
-            self._room[life] = 0
+        next_owner = 0
+        for incarnation in sorted(self._unplanned):
+            for _ in range(self._unplanned[incarnation]):
+                planned = self._planned[self._names[next_owner % len(self._names)]]
+                planned[incarnation] = planned.get(incarnation, 0) + 1
+                next_owner += 1
+            self._unplanned[incarnation] = 0
 
 
 def _urgency(demand: _OpenDemand) -> tuple[int, float]:
-    """Rank of a demand, the lowest first."""
+    """Sort key of a demand; the lowest is the most urgent."""
     return (demand.demand.priority, demand.demand.due_in_s)
 
 
-def _even_level(counts: Sequence[int], room: int) -> int:
-    """The highest level to which every count may be served within the room."""
-    level = 0
-    for position, count in enumerate(sorted(counts)):
-        num_sharing = len(counts) - position
-        if (count - level) * num_sharing > room:
-            return level + room // num_sharing
-        room -= (count - level) * num_sharing
-        level = count
-    return level
+def _even_cap(counts: Sequence[int], num_slots: int) -> int:
+    """Return the highest cap on each count with which their sum does not exceed ``num_slots``."""
+    cap = 0
+    for index, count in enumerate(sorted(counts)):
+        num_above = len(counts) - index
+        if (count - cap) * num_above > num_slots:
+            return cap + num_slots // num_above
+        num_slots -= (count - cap) * num_above
+        cap = count
+    return cap
--- a/src/hollowrack/slots/reporter.py
+++ b/src/hollowrack/slots/reporter.py
@@ -1,4 +1,4 @@
-"""Reports to the arbiter as often as slots move."""
+"""Periodic slot reports of this node to the arbiter."""
 
 import asyncio
 import contextlib
@@ -14,31 +14,30 @@
 from hollowrack.slots.types import SlotAnswer, SlotGrant, SlotPeers, SlotRefusal, SlotReport
 from hollowrack.tasks import cancel_all
 
-# A slot that another owner has freed stands idle until the next report of the one it is meant for.
+# A slot released by another owner stays idle until the next report of the owner it is planned for.
 OWED_INTERVAL_S = 0.1
-# Slots that one owner does not need reach one whose work has just come within two reports.
+# Unused slots are reassigned within two reports.
 MOVING_INTERVAL_S = 0.2
-# Otherwise a report only renews the grant, which lasts three times as long.
+# A report without other purpose renews the grant: a third of GRANT_TTL_S.
 QUIET_INTERVAL_S = 1.0
-# Items of a job come one by one: those that come together are reported together.
+# Combines changes that follow each other closely into one report.
 MIN_INTERVAL_S = 0.05
-# A tick this much early, in seconds, counts as on time: the loop wakes at ticks, not at due times.
+# A report may be sent this much before it is due, as the loop wakes up at ticks, not at due times.
 TICK_TOLERANCE_S = 0.02
-# An outage fails every report; one line a second, in seconds, tells how long it lasts.
 FAILURE_LOG_INTERVAL_S = 1.0
 
 
 class SlotReporter:
-    """Keeps the grants of one node fresh.
+    """Sends this node's reports to the arbiter and passes the answers to the holder.
 
     Args:
-        holder: Holds them.
-        arbiter: Answers if this node leads.
-        services: Returns the services whose slots are shared.
-        leader: Returns the process that leads, if that is known.
+        holder: Grants held by this node.
+        arbiter: Arbiter of this node, used while this node is the leader.
+        services: Returns the names of the services whose slots are shared.
+        leader: Returns the name of the leader's process; ``None`` if unknown.
         owner: Name of this process.
-        address_of: Returns where a process is reached, if that is known.
-        peers: Reports to other nodes.
+        address_of: Returns the leader's address; ``None`` if unknown.
+        peers: Transport of reports to other nodes.
     """
 
     def __init__(
@@ -56,26 +55,26 @@
         self._services = services
         self._leader = leader
         self._owner = owner
-        self._address_of = address_of
+        self._leader_address = address_of
         self._peers = peers
         self._is_urgent = asyncio.Event()
-        self._last_s: dict[str, float] = {}
-        self._failures_logged = LogPace(FAILURE_LOG_INTERVAL_S)
+        self._last_report_s: dict[str, float] = {}
+        self._failure_log_limiter = LogPace(FAILURE_LOG_INTERVAL_S)
         self._task: asyncio.Task[None] | None = None
         holder.on_urgent(self._is_urgent.set)
 
     def start(self) -> None:
-        """Start reporting."""
+        """Start sending reports."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop reporting, and give up what is granted if the arbiter hears of it at once."""
+        """Stop sending reports and release all slots; the release is sent once, without a retry."""
         await cancel_all(self._task)
         reports = [self._holder.leave(service) for service in self._holder.held_services()]
-        await asyncio.gather(*(self._ask(report) for report in reports if report is not None))
+        await asyncio.gather(*(self._exchange(report) for report in reports if report is not None))
 
     async def abandon(self) -> None:
-        """Stop at once, as a crash would; for tests."""
+        """Stop without releasing slots, as a crash would; for tests."""
         await cancel_all(self._task)
 
     async def _run(self) -> None:
@@ -86,7 +85,7 @@
                 self._arbiter.note_leadership(now_s())
                 await self._report_all(is_urgent)
             except Exception:
-                logging.exception("slots: a fault of the program, goes on")
+                logging.exception("slots: unexpected error while reporting, continuing")
             await asyncio.sleep(MIN_INTERVAL_S)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(OWED_INTERVAL_S - MIN_INTERVAL_S):
@@ -102,17 +101,16 @@
 
     def _due_report(self, service: str, is_urgent: bool) -> SlotReport | None:
         if not self._holder.takes_part(service):
-            self._last_s.pop(service, None)
+            self._last_report_s.pop(service, None)
             return self._holder.leave(service)
-        due_s = self._last_s.get(service, -float("inf")) + self._interval_s(service)
-        # Ticks are not exact: one that comes a little early stands for its interval.
+        due_s = self._last_report_s.get(service, -float("inf")) + self._interval_s(service)
         if not is_urgent and now_s() < due_s - TICK_TOLERANCE_S:
             return None
-        self._last_s[service] = now_s()
+        self._last_report_s[service] = now_s()
         return self._holder.report(service)
 
     def _interval_s(self, service: str) -> float:
-        """How long after a report the next one is due, in seconds."""
+        """Time between two reports of a service, in seconds."""
         if self._holder.is_owed_slots(service):
             return OWED_INTERVAL_S
         if self._holder.may_move_slots(service):
@@ -120,30 +118,30 @@
         return QUIET_INTERVAL_S
 
     async def _send(self, report: SlotReport) -> None:
-        answer = await self._ask(report)
+        answer = await self._exchange(report)
         if report.is_leaving:
             return
-        if self._leader() is None or _is_without_arbiter(answer):
+        if self._leader() is None or _is_not_leader(answer):
             self._holder.note_no_arbiter(report.service)
         if isinstance(answer, SlotGrant):
             self._holder.accept(answer)
-        elif self._failures_logged.is_due(now_s()):
+        elif self._failure_log_limiter.is_due(now_s()):
             reason = "no answer" if answer is None else f"[{answer.code}] {answer.detail}"
             logging.info(
-                "slots of %s: report %d to %s brought no grant: %s",
+                "slots of %s: no grant in answer to report %d to leader %s: %s",
                 report.service,
                 report.number,
                 self._leader(),
                 reason,
             )
 
-    async def _ask(self, report: SlotReport) -> SlotAnswer | None:
+    async def _exchange(self, report: SlotReport) -> SlotAnswer | None:
         if self._leader() == self._owner:
             return self._arbiter.answer(report, now_s())
-        address = self._address_of()
+        address = self._leader_address()
         return None if address is None else await self._peers.report(address, report)
 
 
-def _is_without_arbiter(answer: SlotAnswer | None) -> bool:
-    """Whether the node asked says that it may not grant."""
+def _is_not_leader(answer: SlotAnswer | None) -> bool:
+    """Whether the answer says that the node asked may not grant slots."""
     return isinstance(answer, SlotRefusal) and answer.code == ResultCode.NOT_LEADER
--- a/src/hollowrack/slots/shares.py
+++ b/src/hollowrack/slots/shares.py
@@ -1,26 +1,26 @@
-"""Equal shares of a worker's slots: what owners go by while no grant tells them otherwise."""
+"""Equal division of a worker's slots among owners, used while no grant is in force."""
 
 from collections.abc import Collection
 
 from hollowrack.hashing import text_hash
 
-# An owner whose work fits few workers must not stand still until there is an arbiter again.
+# Owners whose work fits few workers must make progress while there is no arbiter.
 MIN_SHARE = 1
 
 
 def equal_share(life: str, capacity: int, owner: str, owners: Collection[str]) -> int:
-    """Return an owner's share of the slots at one life of a worker.
+    """Return an owner's share of the slots of one worker incarnation.
 
     The shares of all owners add up to the capacity, or to one each if there are more owners than
-    slots. Slots left over by the division go to other owners at other workers.
+    slots. The remainder of the division goes to different owners at different incarnations.
 
     Args:
-        life: The life.
-        capacity: Its slots.
-        owner: The owner.
-        owners: All owners; the owner counts as one of them.
+        life: Text of the incarnation.
+        capacity: Number of its slots.
+        owner: Name of the owner.
+        owners: Names of all owners; the owner is added if missing.
     """
     names = sorted({*owners, owner})
-    share, num_left = divmod(capacity, len(names))
-    place = (names.index(owner) + text_hash(life)) % len(names)
-    return max(MIN_SHARE, share + (place < num_left))
+    share, remainder = divmod(capacity, len(names))
+    rank = (names.index(owner) + text_hash(life)) % len(names)
+    return max(MIN_SHARE, share + (rank < remainder))
--- a/src/hollowrack/slots/sharing.py
+++ b/src/hollowrack/slots/sharing.py
@@ -1,4 +1,4 @@
-"""The parts that share slots on one node, joined."""
+"""Slot sharing of one node: holder, arbiter and reporter, wired together."""
 
 from hollowrack.clock import now_s
 from hollowrack.coordination.leadership import Leadership
@@ -13,21 +13,21 @@
 
 
 class SlotSharing:
-    """Holds this node's grants, and grants while it leads.
+    """Holds this node's slot grants, and answers other owners' reports while it is the leader.
 
     Args:
         owner: Name of this process.
-        leadership: Whether it may grant.
-        live: The owners of jobs and the leader, as this node sees them.
-        routes: The routes in force.
-        workers: The workers known.
-        source: Tells this node's work.
-        queue: Hands out the slots on this node.
-        peers: Reports to other nodes; ``None`` if slots are not shared.
+        leadership: Leadership state of this node.
+        live: Job owners and the leader, as known to this node.
+        routes: Routes in force.
+        workers: Directory of known workers.
+        source: Open work of this node.
+        queue: Dispatch queue that is subject to the granted limits.
+        peers: Transport of reports to other nodes; ``None`` if slots are not shared.
 
     Attributes:
-        holder: This node's grants.
-        arbiter: Grants.
+        holder: Grants held by this node.
+        arbiter: Answers reports while this node is the leader.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._live = live
         self._routes = routes
         self._workers = workers
-        self._is_on = peers is not None
+        self._is_enabled = peers is not None
         self.holder = SlotHolder(owner, workers, self._is_shared, live.job_owners, source)
         self.arbiter = SlotArbiter(owner, leadership, self._capacity, live.job_owners)
         self._reporter: SlotReporter | None = None
@@ -62,32 +62,32 @@
             self.holder.on_granted(queue.look_again)
 
     def start(self) -> None:
-        """Start sharing."""
+        """Start the reporter."""
         if self._reporter is not None:
             self._reporter.start()
 
     async def stop(self) -> None:
-        """Stop sharing, once this node owns no jobs."""
+        """Stop the reporter and release all slots; called once this node owns no jobs."""
         if self._reporter is not None:
             await self._reporter.stop()
 
     async def abandon(self) -> None:
-        """Stop at once, as a crash would; for tests."""
+        """Stop without releasing slots, as a crash would; for tests."""
         if self._reporter is not None:
             await self._reporter.abandon()
 
     def answer(self, report: SlotReport) -> SlotAnswer:
-        """Answer another node's report."""
+        """Answer a report of another node."""
         return self.arbiter.answer(report, now_s())
 
     def shared_services(self) -> list[str]:
-        """Return the services whose slots are shared."""
+        """Return the names of the services whose slots are shared."""
         return [
             service.name for service in self._routes.services() if self._is_shared(service.name)
         ]
 
     def _is_shared(self, service_name: str) -> bool:
-        return self._is_on and self._routes.holds_several_models(service_name)
+        return self._is_enabled and self._routes.holds_several_models(service_name)
 
     def _capacity(self, service: str) -> dict[str, int]:
         if not self._is_shared(service):
--- a/src/hollowrack/slots/types.py
+++ b/src/hollowrack/slots/types.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other to share the slots of workers, and bounds on what is accepted."""
+"""Messages for sharing worker slots between nodes, and their validation."""
 
 import math
 from collections.abc import Iterator, Mapping
@@ -8,15 +8,15 @@
 from hollowrack.messages.codec import message
 from hollowrack.results import Problem, ResultCode
 
-# Above what the largest fleet needs; whatever exceeds them comes from a fault, and would cost the
-# arbiter memory and time.
+# Bounds on received messages, above the needs of the largest fleet: they limit the memory and time
+# that a faulty message costs the arbiter.
 MAX_LIVES = 4_096
 MAX_WORK = 512
 MAX_COUNT = 100_000
 MAX_DUE_S = 1e9
 MAX_PRIORITY = 1_000_000
 MAX_NAME_LENGTH = 256
-# Longer than any arbiter grants: a larger one would outlive the handover to the next arbiter.
+# A grant that lasts longer could overlap with grants of the next arbiter.
 MAX_TTL_S = 10.0
 
 
@@ -27,11 +27,11 @@
 
     Attributes:
         priority: Priority of its route, 0 first.
-        due_in_s: Time until its results are due, in seconds, negative once they are late; ``None``
-            if no time is stated.
-        num_running: How many items run.
-        num_waiting: How many items wait for a slot.
-        lives: Where they may run: positions in the report's list of lives.
+        due_in_s: Time until its deadline, in seconds, negative after it; ``None`` without a
+            deadline.
+        num_running: Number of running items.
+        num_waiting: Number of items that wait for a slot.
+        lives: Incarnations at which they may run, as indices into :attr:`SlotReport.lives`.
     """
 
     priority: int
@@ -44,20 +44,20 @@
 @message("slots.report")
 @dataclass(frozen=True)
 class SlotReport:
-    """What an owner of jobs has in flight at the workers of a service, and what it needs.
+    """An owner's in-flight requests at the workers of one service, and its demand for slots.
 
     Attributes:
         owner: Name of the owner's process.
-        service: The service.
-        number: Number of the report; it rises.
-        fencing_token: Of the arbiter whose grant is in force; ``None`` if none is.
-        grant_number: Number of that grant.
-        lives: Every life of a worker that the owner knows.
-        in_flight: What it has in flight at each of them.
-        limits: How much it may have in flight at each of them from now on: the grant's limits, or
-            less if it gives slots up.
-        work: Its open work.
-        is_leaving: Whether it needs nothing more: whatever it was granted is free.
+        service: Name of the service.
+        number: Sequence number of the report, strictly increasing per owner.
+        fencing_token: Token of the arbiter whose grant is in force; ``None`` if none is.
+        grant_number: Number of that grant, 0 if none is in force.
+        lives: Worker incarnations known to the owner, without duplicates.
+        in_flight: Requests in flight at each incarnation, in the order of ``lives``.
+        limits: Maximum requests in flight at each incarnation from now on, in the order of
+            ``lives``: the limits of the grant, or less where the owner releases slots.
+        work: Open work of the owner.
+        is_leaving: Whether the owner releases everything that it was granted.
     """
 
     owner: str
@@ -75,19 +75,19 @@
 @message("slots.grant")
 @dataclass(frozen=True)
 class SlotGrant:
-    """How many requests an owner may have in flight at each worker of a service.
+    """Limits on the requests that an owner may have in flight at each worker of a service.
 
     Attributes:
-        arbiter: Name of the process that grants.
-        fencing_token: Of its leadership; grants of lower ones are void.
-        service: The service.
+        arbiter: Name of the arbiter's process.
+        fencing_token: Token of its leadership; a grant with a lower one is void.
+        service: Name of the service.
         number: Number of the report that it answers.
-        ttl_s: How long it lasts, counted from when that report was sent, in seconds.
-        limits: Limit at each life in the report's list; ``None`` where the arbiter knows of no
-            such life.
+        ttl_s: Lifetime of the grant, counted from the sending of that report, in seconds.
+        limits: Limit at each incarnation in the order of :attr:`SlotReport.lives`; ``None`` where
+            the arbiter does not know the incarnation.
         is_contended: Whether there is more work than slots.
         has_waiting: Whether work of any owner waits for a slot.
-        num_owed: Slots planned for the owner that others may still be spending.
+        num_owed: Slots planned for the owner that are still reserved for others.
     """
 
     arbiter: str
@@ -104,11 +104,11 @@
 @message("slots.refusal")
 @dataclass(frozen=True)
 class SlotRefusal:
-    """A report was not answered by a grant; what the owner has been granted stays in force.
+    """Answer to a report without a grant; earlier grants stay in force.
 
     Attributes:
-        code: Why, as a result code.
-        detail: Why, in one sentence.
+        code: Number of the result code.
+        detail: Reason, for people.
     """
 
     code: int
@@ -119,88 +119,96 @@
 
 
 class SlotPeers(Protocol):
-    """Reports to other nodes."""
+    """Transport of slot reports to other nodes."""
 
     async def report(self, address: str, report: SlotReport) -> SlotAnswer | None:
-        """Report to the arbiter; ``None`` if no answer came, and it may have taken the report."""
+        """Send a report to the arbiter.
+
+        Returns:
+            The answer; ``None`` if none came, although the arbiter may have recorded the report.
+        """
 
 
 class OpenWorkSource(Protocol):
-    """Tells what work there is on this node."""
+    """Open work of this node."""
 
     @property
     def num_running(self) -> int:
-        """How many unfinished jobs this node owns."""
+        """Number of unfinished jobs that this node owns."""
 
     def has_waiting(self, service: str) -> bool:
-        """Whether any item waits for a slot at a service."""
+        """Return whether any item waits for a slot at a service."""
 
     def open_work(self, service: str, lives: Mapping[str, int]) -> list[OpenWork]:
-        """Return the work at a service.
+        """Return the open work at a service.
 
         Args:
-            service: The service.
-            lives: Position of each life by its text.
+            service: Name of the service.
+            lives: Index of each incarnation in the report, by the incarnation's text.
         """
 
 
 def report_problem(report: SlotReport) -> Problem | None:
-    """Return what is wrong with a report; ``None`` if it may be used."""
-    return next(_report_faults(report), None)
+    """Return the first problem of a report; ``None`` if it is valid."""
+    return next(_report_problems(report), None)
 
 
 def grant_problem(grant: SlotGrant, report: SlotReport) -> Problem | None:
-    """Return what is wrong with a grant; ``None`` if it may be used.
+    """Return the first problem of a grant; ``None`` if it is valid.
 
     Args:
-        grant: The grant.
-        report: The report that it should answer.
+        grant: Grant as received.
+        report: Last report of this node, which the grant must answer.
     """
     if grant.number != report.number or grant.service != report.service:
         return _invalid("the grant answers another report", "number")
     if not (math.isfinite(grant.ttl_s) and 0.0 < grant.ttl_s <= MAX_TTL_S):
-        return _invalid(f"ttl_s is {grant.ttl_s}", "ttl_s")
+        return _invalid(f"ttl_s is out of range: {grant.ttl_s}", "ttl_s")
     if len(grant.limits) != len(report.lives):
-        return _invalid(f"{len(grant.limits)} limits of {len(report.lives)} lives", "limits")
+        return _invalid(
+            f"{len(grant.limits)} limits for {len(report.lives)} incarnations", "limits"
+        )
     if not all(limit is None or 0 <= limit <= MAX_COUNT for limit in grant.limits):
-        return _invalid("a limit is out of range", "limits")
+        return _invalid("a limit is negative or too large", "limits")
     if not 0 <= grant.num_owed <= MAX_COUNT:
-        return _invalid(f"num_owed is {grant.num_owed}", "num_owed")
+        return _invalid(f"num_owed is out of range: {grant.num_owed}", "num_owed")
     return None
 
 
-def _report_faults(report: SlotReport) -> Iterator[Problem]:
+def _report_problems(report: SlotReport) -> Iterator[Problem]:
     if not 0 < len(report.owner) <= MAX_NAME_LENGTH:
-        yield _invalid("the name is empty or too long", "owner")
+        yield _invalid("the name of the owner is empty or too long", "owner")
     if len(report.lives) > MAX_LIVES or len(set(report.lives)) != len(report.lives):
-        yield _invalid("lives are too many, or one is named twice", "lives")
-    if any(len(life) > MAX_NAME_LENGTH for life in report.lives):
-        yield _invalid("a name is too long", "lives")
+        yield _invalid("too many incarnations, or one is listed twice", "lives")
+    if any(len(incarnation) > MAX_NAME_LENGTH for incarnation in report.lives):
+        yield _invalid("the name of an incarnation is too long", "lives")
     for field, counts in (("in_flight", report.in_flight), ("limits", report.limits)):
         if len(counts) != len(report.lives):
-            yield _invalid(f"{len(counts)} counts of {len(report.lives)} lives", field)
+            yield _invalid(f"{len(counts)} counts for {len(report.lives)} incarnations", field)
         if not all(0 <= count <= MAX_COUNT for count in counts):
-            yield _invalid("a count is out of range", field)
+            yield _invalid("a count is negative or too large", field)
     if len(report.work) > MAX_WORK:
-        yield _invalid(f"{len(report.work)} entries", "work")
+        yield _invalid(f"too many entries: {len(report.work)}", "work")
     for work in report.work:
-        yield from _work_faults(work, len(report.lives))
+        yield from _work_problems(work, len(report.lives))
 
 
-def _work_faults(work: OpenWork, num_lives: int) -> Iterator[Problem]:
+def _work_problems(work: OpenWork, num_incarnations: int) -> Iterator[Problem]:
     due_in_s = work.due_in_s
     if due_in_s is not None and not (math.isfinite(due_in_s) and abs(due_in_s) <= MAX_DUE_S):
-        yield _invalid(f"due_in_s is {due_in_s}", "work.due_in_s")
+        yield _invalid(f"due_in_s is out of range: {due_in_s}", "work.due_in_s")
     if not 0 <= work.priority <= MAX_PRIORITY:
-        yield _invalid(f"priority is {work.priority}", "work.priority")
+        yield _invalid(f"priority is out of range: {work.priority}", "work.priority")
     if not all(0 <= count <= MAX_COUNT for count in (work.num_running, work.num_waiting)):
-        yield _invalid("a count is out of range", "work")
-    if not _are_positions(work.lives, num_lives):
-        yield _invalid("no such life", "work.lives")
+        yield _invalid("a count is negative or too large", "work")
+    if not _are_valid_indices(work.lives, num_incarnations):
+        yield _invalid("an incarnation index is out of range, or there are too many", "work.lives")
 
 
-def _are_positions(positions: tuple[int, ...], num_lives: int) -> bool:
-    return len(positions) <= num_lives and all(0 <= index < num_lives for index in positions)
+def _are_valid_indices(indices: tuple[int, ...], num_incarnations: int) -> bool:
+    return len(indices) <= num_incarnations and all(
+        0 <= index < num_incarnations for index in indices
+    )
 
 
 def _invalid(detail: str, place: str) -> Problem:
