--- a/src/hollowrack/quarantine/__init__.py
+++ b/src/hollowrack/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end the workers which run them: recognised, told to all nodes, and refused."""
+"""Quarantine of requests that crash the workers which run them."""
--- a/src/hollowrack/quarantine/places.py
+++ b/src/hollowrack/quarantine/places.py
@@ -1,8 +1,7 @@
-"""Keeps suspects apart, so that one which ends a worker does not condemn the others.
+"""Placement of suspects: keeps requests one crash short of quarantine on separate workers.
 
-All that a worker runs is broken off when it ends, and whatever is caught in three such ends looks
-just like the one request that caused them. So a request that has been caught twice shares no worker
-with another suspect: its third end is its own.
+A crash interrupts all requests of the worker, and each of them counts it. The last crash before a
+quarantine must not be caused by another suspect at the same worker.
 """
 
 from collections import Counter, defaultdict
@@ -10,37 +9,37 @@
 from hollowrack.forwarding.types import WorkerLife
 from hollowrack.quarantine.register import NUM_ENDS, SuspectRegister
 
-# One end more condemns such a request.
+# One more crash quarantines such a request.
 NUM_ENDS_KEPT_APART = NUM_ENDS - 1
 
 
 class SuspectPlaces:
-    """Where this node runs suspects.
+    """Records where this node runs suspects, and decides which workers they may use.
 
     Args:
-        register: How many workers have ended under each request.
+        register: Suspects known to this node.
     """
 
     def __init__(self, register: SuspectRegister) -> None:
-        self._register = register
+        self._registry = register
         self._suspects_at: defaultdict[WorkerLife, Counter[str]] = defaultdict(Counter)
 
     def allows(self, fingerprint: str, worker: WorkerLife) -> bool:
-        """Whether a request may begin at a worker beside those that are there."""
-        num_ended = self._register.num_ended(fingerprint)
+        """Return whether a request may start at a worker, given the suspects that run there."""
+        num_ended = self._registry.num_ended(fingerprint)
         if num_ended == 0 or worker not in self._suspects_at:
             return True
         others = [other for other in self._suspects_at[worker] if other != fingerprint]
-        most_ended = max((self._register.num_ended(other) for other in others), default=0)
-        return most_ended == 0 or max(num_ended, most_ended) < NUM_ENDS_KEPT_APART
+        max_other_crashes = max((self._registry.num_ended(other) for other in others), default=0)
+        return max_other_crashes == 0 or max(num_ended, max_other_crashes) < NUM_ENDS_KEPT_APART
 
     def begin(self, fingerprint: str, worker: WorkerLife) -> None:
-        """A request begins at a worker."""
-        if self._register.num_ended(fingerprint) > 0:
+        """Record the start of a request at a worker."""
+        if self._registry.num_ended(fingerprint) > 0:
             self._suspects_at[worker][fingerprint] += 1
 
     def end(self, fingerprint: str, worker: WorkerLife) -> None:
-        """A request is over at a worker."""
+        """Record the end of a request at a worker."""
         suspects = self._suspects_at.get(worker)
         if suspects is None or fingerprint not in suspects:
             return
--- a/src/hollowrack/quarantine/quarantine.py
+++ b/src/hollowrack/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""What those who send requests to workers ask and tell about crashing requests."""
+"""Quarantine facade: used by the forwarders to report and check crashing requests."""
 
 from hollowrack.forwarding.back_end import BackEndClient
 from hollowrack.forwarding.types import Worker
@@ -10,15 +10,15 @@
 
 
 class Quarantine:
-    """Keeps requests that end their workers from further workers.
+    """Prevents requests that crash workers from being sent to further workers.
 
     Args:
-        back_ends: Looks whether workers that broke requests off have ended.
+        back_ends: Checks whether a worker that closed a connection has crashed.
 
     Attributes:
-        register: What is known of crashing requests.
-        worker_ends: Tells ends of workers from broken connections.
-        places: Keeps suspects apart.
+        register: Suspects known to this node.
+        worker_ends: Distinguishes crashes from broken connections.
+        places: Keeps suspects on separate workers.
     """
 
     def __init__(self, back_ends: BackEndClient) -> None:
@@ -29,37 +29,37 @@
     def note_break(
         self, request_id: str, fingerprint: str, worker: Worker, goes_on: bool = False
     ) -> None:
-        """A worker broke a request off.
+        """Record that a worker closed the connection before the answer was complete.
 
         Args:
-            request_id: The try's identifier.
-            fingerprint: The request's.
-            worker: The worker.
-            goes_on: Whether this node runs the request until it is whole.
+            request_id: Identifier of the attempt, for the log.
+            fingerprint: Fingerprint of the request.
+            worker: Worker that closed the connection.
+            goes_on: Whether this node retries the request until it is complete.
         """
         self.worker_ends.note_break(request_id, fingerprint, worker, goes_on)
 
     def note_good(self, fingerprint: str) -> None:
-        """A worker answered a request well."""
+        """Record that a worker answered a request successfully."""
         self.register.note_good(fingerprint)
 
     def note_left(self, fingerprint: str) -> None:
-        """This node stopped running a request that is not whole: it may go on elsewhere."""
+        """Record that this node stopped running an incomplete request; other nodes may run it."""
         self.register.note_left(fingerprint)
 
     def verdict(self, fingerprint: str) -> Verdict | None:
-        """Why a request must not be sent to a worker; ``None`` if it may be."""
+        """Return the quarantine state of a request; ``None`` if it may be sent to workers."""
         return self.register.verdict(fingerprint)
 
     async def wait_until_lifted(self, fingerprint: str) -> None:
-        """Wait until a request may be sent to workers."""
+        """Wait until a request is not quarantined."""
         await self.register.wait_until_lifted(fingerprint)
 
 
 def refusal(verdict: Verdict, fingerprint: str, request_id: str) -> Problem:
-    """Return what a caller is told whose try has been sent to no worker."""
+    """Return the problem for an attempt that was not sent to a worker because of a quarantine."""
     detail = (
-        f"{verdict.num_ended} workers have ended under the request of fingerprint {fingerprint}"
+        f"{verdict.num_ended} workers have crashed under the request of fingerprint {fingerprint}"
     )
     return Problem(
         ResultCode.REQUEST_QUARANTINED, detail, request_id, round(verdict.remaining_s, 1)
--- a/src/hollowrack/quarantine/register.py
+++ b/src/hollowrack/quarantine/register.py
@@ -1,7 +1,7 @@
-"""Which requests have ended workers, as far as one node knows.
+"""Registry of suspects: requests under which workers have crashed, as known to one node.
 
-A request is quarantined once as many workers as :data:`NUM_ENDS` have ended under it, wherever and
-in however many tries. An answer by a worker that lived through the request clears it.
+A request is quarantined once :data:`NUM_ENDS` worker incarnations have crashed under it, over all
+nodes and attempts. A successful answer by any worker clears the request.
 """
 
 import asyncio
@@ -16,15 +16,14 @@
 from hollowrack.forwarding.types import WorkerLife
 from hollowrack.quarantine.types import SuspectChange, Verdict
 
-# Sound requests are caught in the end of a worker once or, beside a crashing one, twice.
+# Above the number of crashes that a harmless request may see because of others at its workers.
 NUM_ENDS = 3
-# From this many on other nodes are told at once, though the request may still be on its way.
+# From this number on, crashes are shared with other nodes even while this node retries the request.
 NUM_ENDS_TOLD_AT_ONCE = 2
-# After this time a request may be tried again: its workers may have been mended meanwhile.
+# After this time the request may be sent again, as its workers may have been fixed.
 QUARANTINE_S = 3600.0
-# A request that a worker answered this lately is not what ended another: requests that crash
-# workers crash each one. It spares look-ups that many callers make at once when workers are lost
-# together.
+# A crash within this time after a success is not attributed to the request. Protects requests that
+# many callers send concurrently when several workers are lost together.
 GOOD_FOR_S = 5.0
 MAX_GOOD = 4096
 MAX_SUSPECTS = 1024
@@ -32,198 +31,202 @@
 
 @dataclass
 class _Suspect:
-    """One request under which workers ended.
+    """One request under which workers have crashed.
 
     Attributes:
-        ended: All lives of workers that did, as texts.
-        shared: Those that the store's record names.
-        revision: Revision of that record.
-        must_tell: Whether what the record lacks is to be written.
-        is_cleared: Whether the request is sound, so that the record is to go.
-        since_s: When this node first heard of it, on the loop's clock.
+        crashed: Crashed worker incarnations, as texts.
+        shared: Those contained in the store's record.
+        revision: Revision of that record; :data:`ABSENT_REVISION` without one.
+        must_share: Whether crashes missing in the record must be written to it.
+        is_cleared: Whether the request has been cleared and its record must be removed.
+        since_s: Time at which this node learned of the suspect, on the loop's clock.
     """
 
-    ended: set[str] = field(default_factory=set)
+    crashed: set[str] = field(default_factory=set)
     shared: frozenset[str] = frozenset()
     revision: int = ABSENT_REVISION
-    must_tell: bool = False
+    must_share: bool = False
     is_cleared: bool = False
     since_s: float = 0.0
 
 
 class SuspectRegister:
-    """The requests that are suspected or quarantined, by fingerprint.
+    """Suspected and quarantined requests, by fingerprint.
 
     Attributes:
-        changed: Set whenever there may be something to tell the other nodes; the reader clears it.
+        changed: Set when there may be changes to write to the store; cleared by the reader.
     """
 
     def __init__(self) -> None:
         self.changed = asyncio.Event()
         self._suspects: OrderedDict[str, _Suspect] = OrderedDict()
-        self._good_s: OrderedDict[str, float] = OrderedDict()
-        self._lifted = asyncio.Event()
+        self._last_success_s: OrderedDict[str, float] = OrderedDict()
+        self._quarantine_lifted = asyncio.Event()
 
     @property
     def num_suspects(self) -> int:
-        """How many requests have ended a worker and are not cleared."""
+        """Number of suspects, quarantined ones included."""
         return sum(not suspect.is_cleared for suspect in self._suspects.values())
 
     @property
     def num_quarantined(self) -> int:
-        """How many requests are not sent to workers."""
+        """Number of quarantined requests."""
         return sum(self.verdict(fingerprint) is not None for fingerprint in self._suspects)
 
     def note_ended(self, fingerprint: str, worker: WorkerLife, goes_on: bool) -> None:
-        """A worker ended while it ran a request.
+        """Record that a worker crashed while it ran a request.
 
         Args:
-            fingerprint: The request's.
-            worker: The life of the worker.
-            goes_on: Whether this node runs the request until it is whole, so that others need not
-                know of a first end.
+            fingerprint: Fingerprint of the request.
+            worker: Incarnation of the worker.
+            goes_on: Whether this node retries the request until it is complete, so that a first
+                crash need not be shared with other nodes.
         """
-        good_s = self._good_s.get(fingerprint)
-        if good_s is not None and now_s() - good_s < GOOD_FOR_S:
+        last_success_s = self._last_success_s.get(fingerprint)
+        if last_success_s is not None and now_s() - last_success_s < GOOD_FOR_S:
             return
-        suspect = self._of(fingerprint)
+        suspect = self._get_or_add(fingerprint)
         suspect.is_cleared = False
-        self._add(fingerprint, suspect, {str(worker)})
-        suspect.must_tell |= not goes_on or len(suspect.ended) >= NUM_ENDS_TOLD_AT_ONCE
+        self._add_crashes(fingerprint, suspect, {str(worker)})
+        suspect.must_share |= not goes_on or len(suspect.crashed) >= NUM_ENDS_TOLD_AT_ONCE
         self.changed.set()
 
     def note_left(self, fingerprint: str) -> None:
-        """This node stopped running a request that is not whole: it may go on elsewhere."""
+        """Record that this node stopped running an incomplete request; other nodes may run it."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and not suspect.is_cleared:
-            suspect.must_tell = True
+            suspect.must_share = True
             self.changed.set()
 
     def note_good(self, fingerprint: str) -> None:
-        """A worker answered a request well: it is sound."""
-        self._good_s[fingerprint] = now_s()
-        self._good_s.move_to_end(fingerprint)
-        if len(self._good_s) > MAX_GOOD:
-            self._good_s.popitem(last=False)
+        """Record that a worker answered a request successfully, and clear the request."""
+        self._last_success_s[fingerprint] = now_s()
+        self._last_success_s.move_to_end(fingerprint)
+        if len(self._last_success_s) > MAX_GOOD:
+            self._last_success_s.popitem(last=False)
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and not suspect.is_cleared:
             self._clear(fingerprint)
 
     def verdict(self, fingerprint: str) -> Verdict | None:
-        """Why a request must not be sent to a worker; ``None`` if it may be."""
+        """Return the quarantine state of a request; ``None`` if it may be sent to workers."""
         suspect = self._suspects.get(fingerprint)
-        if suspect is None or suspect.is_cleared or len(suspect.ended) < NUM_ENDS:
+        if suspect is None or suspect.is_cleared or len(suspect.crashed) < NUM_ENDS:
             return None
         remaining_s = suspect.since_s + QUARANTINE_S - now_s()
-        return Verdict(len(suspect.ended), remaining_s) if remaining_s > 0.0 else None
+        return Verdict(len(suspect.crashed), remaining_s) if remaining_s > 0.0 else None
 
     def num_ended(self, fingerprint: str) -> int:
-        """How many workers are known to have ended under a request."""
+        """Return the number of worker incarnations known to have crashed under a request."""
         suspect = self._suspects.get(fingerprint)
-        return 0 if suspect is None or suspect.is_cleared else len(suspect.ended)
+        return 0 if suspect is None or suspect.is_cleared else len(suspect.crashed)
 
     async def wait_until_lifted(self, fingerprint: str) -> None:
-        """Wait until a request may be sent to workers."""
+        """Wait until a request is not quarantined."""
         while (verdict := self.verdict(fingerprint)) is not None:
             try:
                 async with asyncio.timeout(verdict.remaining_s):
-                    await self._lifted.wait()
+                    await self._quarantine_lifted.wait()
             except TimeoutError:
                 continue
 
     def take(self, fingerprint: str, ended_workers: Iterable[str], revision: int) -> None:
-        """Take in what the store's record of a request says."""
-        suspect = self._of(fingerprint)
+        """Apply the store's record of a request, unless its revision is known already."""
+        suspect = self._get_or_add(fingerprint)
         if revision <= suspect.revision:
             return
         suspect.shared = frozenset(ended_workers)
         suspect.revision = revision
-        self._add(fingerprint, suspect, suspect.shared)
+        self._add_crashes(fingerprint, suspect, suspect.shared)
         self.changed.set()
 
     def take_removal(self, fingerprint: str) -> None:
-        """The store's record of a request is gone: it was cleared, or its time is over."""
+        """Remove a request whose record was removed from the store (cleared or expired)."""
         if fingerprint in self._suspects:
-            self._forget(fingerprint)
+            self._remove(fingerprint)
 
     def changes(self) -> list[SuspectChange]:
-        """Return what the store should be told."""
+        """Return the changes that must be written to the store."""
         return [
             change
             for fingerprint, suspect in self._suspects.items()
-            if (change := _change(fingerprint, suspect)) is not None
+            if (change := _pending_change(fingerprint, suspect)) is not None
         ]
 
     def overdue(self) -> list[SuspectChange]:
-        """Return the removal of each record that has been known for longer than a quarantine."""
+        """Return removals of the records known for longer than a quarantine lasts."""
         return [
             SuspectChange(fingerprint, frozenset(), suspect.revision)
             for fingerprint, suspect in self._suspects.items()
-            if suspect.revision != ABSENT_REVISION and _is_over(suspect)
+            if suspect.revision != ABSENT_REVISION and _is_expired(suspect)
         ]
 
-    def _of(self, fingerprint: str) -> _Suspect:
+    def _get_or_add(self, fingerprint: str) -> _Suspect:
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             suspect = self._suspects[fingerprint] = _Suspect(since_s=now_s())
-            self._make_room()
-        elif _is_over(suspect):
-            # After a quarantine ends count anew; the record is replaced with the next one.
-            suspect.ended.clear()
-            suspect.must_tell = False
+            self._evict_excess()
+        elif _is_expired(suspect):
+            # The quarantine is over: counting restarts, and the next change replaces the record.
+            suspect.crashed.clear()
+            suspect.must_share = False
             suspect.since_s = now_s()
         return suspect
 
-    def _make_room(self) -> None:
-        """Leave out the oldest, one that is not quarantined if there is such a one."""
+    def _evict_excess(self) -> None:
+        """Evict the oldest suspect beyond the limit, preferably one that is not quarantined."""
         if self.num_suspects <= MAX_SUSPECTS:
             return
         *older, _ = (
             fingerprint for fingerprint, suspect in self._suspects.items() if not suspect.is_cleared
         )
-        free = (fingerprint for fingerprint in older if self.verdict(fingerprint) is None)
-        chosen = next(free, older[0])
-        logging.warning("quarantine is full: the request with fingerprint %s is left out", chosen)
-        self._clear(chosen)
+        not_quarantined = (
+            fingerprint for fingerprint in older if self.verdict(fingerprint) is None
+        )
+        evicted = next(not_quarantined, older[0])
+        logging.warning(
+            "quarantine limit reached: evicted the request with fingerprint %s", evicted
+        )
+        self._clear(evicted)
 
     def _clear(self, fingerprint: str) -> None:
-        """Suspect a request no longer, here and in the store."""
+        """Clear a request locally, and mark its record for removal from the store."""
         suspect = self._suspects[fingerprint]
         if suspect.revision == ABSENT_REVISION:
-            self._forget(fingerprint)
+            self._remove(fingerprint)
         else:
             suspect.is_cleared = True
-            self._lift()
+            self._wake_waiters()
         self.changed.set()
 
-    def _forget(self, fingerprint: str) -> None:
+    def _remove(self, fingerprint: str) -> None:
         del self._suspects[fingerprint]
-        self._lift()
+        self._wake_waiters()
 
-    def _lift(self) -> None:
-        self._lifted.set()
-        self._lifted = asyncio.Event()
+    def _wake_waiters(self) -> None:
+        self._quarantine_lifted.set()
+        self._quarantine_lifted = asyncio.Event()
 
-    def _add(self, fingerprint: str, suspect: _Suspect, workers: Collection[str]) -> None:
-        """Add workers that ended under a request; tells in the log when that condemns it."""
-        was_suspect = len(suspect.ended) < NUM_ENDS
-        suspect.ended.update(workers)
-        if was_suspect and len(suspect.ended) >= NUM_ENDS:
+    def _add_crashes(self, fingerprint: str, suspect: _Suspect, workers: Collection[str]) -> None:
+        """Add crashed workers to a suspect; logs a warning when that quarantines the request."""
+        was_below_limit = len(suspect.crashed) < NUM_ENDS
+        suspect.crashed.update(workers)
+        if was_below_limit and len(suspect.crashed) >= NUM_ENDS:
             logging.warning(
-                "request with fingerprint %s: quarantined for %.0f s, workers ended under it: %s",
+                "request with fingerprint %s: quarantined for %.0f s, workers crashed under it: %s",
                 fingerprint,
                 max(0.0, suspect.since_s + QUARANTINE_S - now_s()),
-                ", ".join(sorted(suspect.ended)),
+                ", ".join(sorted(suspect.crashed)),
             )
 
 
-def _is_over(suspect: _Suspect) -> bool:
+def _is_expired(suspect: _Suspect) -> bool:
     return now_s() - suspect.since_s >= QUARANTINE_S
 
 
-def _change(fingerprint: str, suspect: _Suspect) -> SuspectChange | None:
+def _pending_change(fingerprint: str, suspect: _Suspect) -> SuspectChange | None:
     if suspect.is_cleared:
         return SuspectChange(fingerprint, frozenset(), suspect.revision)
-    if suspect.must_tell and not suspect.ended <= suspect.shared:
-        return SuspectChange(fingerprint, frozenset(suspect.ended), suspect.revision)
+    if suspect.must_share and not suspect.crashed <= suspect.shared:
+        return SuspectChange(fingerprint, frozenset(suspect.crashed), suspect.revision)
     return None
--- a/src/hollowrack/quarantine/sharing.py
+++ b/src/hollowrack/quarantine/sharing.py
@@ -1,7 +1,7 @@
-"""Tells all nodes which requests ended workers, by records in the coordination store.
+"""Replication of suspects between nodes, through records in the coordination store.
 
-All nodes follow the records, so that a node which starts, or comes back, knows them as well, and a
-loss of all nodes loses none. Only an end of a worker costs a call; sound requests cost none.
+All nodes watch the records, so that restarted nodes know them as well. Only crashes of workers
+cause store calls.
 """
 
 import asyncio
@@ -28,24 +28,24 @@
 from hollowrack.results import ResultCode
 from hollowrack.tasks import cancel_all
 
-# A look-up that lost its worker is answered by the next one within this time and costs no call.
-# All nodes must know of an end within three seconds; a watch brings a record in under one.
+# Delay before changes are written: a request that succeeds at another worker meanwhile causes no
+# store call. Well below the 3 s within which all nodes must know of a crash.
 GATHER_S = 0.25
 FIRST_RETRY_PAUSE_S = 0.3
 MAX_RETRY_PAUSE_S = 2.0
-# How often the leader looks for records whose time is over, in seconds.
+# Interval at which the leader removes expired records.
 LOOK_S = 60.0
 
 
 class SuspectSharing:
-    """Keeps one node's register and the store's records alike.
+    """Keeps the suspects of one node and the records in the store in sync.
 
     Args:
-        prefix: Prefix of the records' keys.
-        store: The coordination store.
-        register: The node's register.
-        leadership: The leader removes records whose time is over.
-        rng: Source of the retry jitter.
+        prefix: Key prefix of the records.
+        store: Coordination store.
+        register: Suspects known to this node.
+        leadership: Leadership state of this node; the leader removes expired records.
+        rng: Source of the backoff jitter.
     """
 
     def __init__(
@@ -58,33 +58,41 @@
     ) -> None:
         self._prefix = prefix
         self._store = store
-        self._register = register
+        self._registry = register
         self._leadership = leadership
         self._backoff = Backoff(FIRST_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S, rng)
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start telling."""
+        """Start writing changes to the store."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop telling."""
+        """Stop writing changes to the store."""
         await cancel_all(self._task)
 
     def take(self, key: str, item: StoredItem | None) -> bool:
-        """Take in a key that was written or removed; returns whether it is one of the records'."""
+        """Apply a changed key.
+
+        Args:
+            key: Key that was written or removed.
+            item: Its new content; ``None`` if it was removed.
+
+        Returns:
+            Whether the key is that of a suspect's record.
+        """
         if not key.startswith(self._prefix):
             return False
         fingerprint = unquote(key.removeprefix(self._prefix))
         if item is None:
-            self._register.take_removal(fingerprint)
+            self._registry.take_removal(fingerprint)
             return True
         record = codec.decode(item.value).value_or(None)
         if isinstance(record, SuspectRecord):
-            self._register.take(fingerprint, record.ended_workers, item.revision)
+            self._registry.take(fingerprint, record.ended_workers, item.revision)
         else:
             logging.error(
-                "[%d] record %s is no suspect and is left out: remove its key",
+                "[%d] record %s is not a suspect record, ignored: remove its key",
                 int(ResultCode.MESSAGE_INVALID),
                 key,
             )
@@ -94,24 +102,24 @@
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(LOOK_S):
-                    await self._register.changed.wait()
-            self._register.changed.clear()
+                    await self._registry.changed.wait()
+            self._registry.changed.clear()
             await asyncio.sleep(GATHER_S)
-            await self._tell_all()
+            await self._write_changes()
 
-    async def _tell_all(self) -> None:
-        changes = self._register.changes()
+    async def _write_changes(self) -> None:
+        changes = self._registry.changes()
         if self._leadership.is_leader:
-            changes += self._register.overdue()
+            changes += self._registry.overdue()
         for change in changes:
-            if await self._tell(change):
+            if await self._write_change(change):
                 self._backoff.reset()
             else:
-                self._register.changed.set()
+                self._registry.changed.set()
                 await asyncio.sleep(self._backoff.next_pause_s())
 
-    async def _tell(self, change: SuspectChange) -> bool:
-        """Write or remove one record, as it was last seen; returns whether it was answered."""
+    async def _write_change(self, change: SuspectChange) -> bool:
+        """Write or remove one record at its known revision; returns whether the store answered."""
         key = self._prefix + quote(change.fingerprint, safe="")
         condition = Condition(key, change.revision)
         if change.ended_workers:
@@ -120,24 +128,24 @@
         else:
             outcome = await self._store.transact([condition], [], [key])
         if isinstance(outcome, Committed):
-            self._take_written(change, outcome.revision)
+            self._apply_written(change, outcome.revision)
             return True
         if isinstance(outcome, Conflict):
-            self._take_current(change, outcome)
+            self._apply_conflict(change, outcome)
             return True
-        logging.info("suspect %s: not told, %s", change.fingerprint, outcome)
+        logging.info("suspect %s: change not written to the store, %s", change.fingerprint, outcome)
         return False
 
-    def _take_written(self, change: SuspectChange, revision: int) -> None:
+    def _apply_written(self, change: SuspectChange, revision: int) -> None:
         if change.ended_workers:
-            self._register.take(change.fingerprint, change.ended_workers, revision)
+            self._registry.take(change.fingerprint, change.ended_workers, revision)
         else:
-            self._register.take_removal(change.fingerprint)
+            self._registry.take_removal(change.fingerprint)
 
-    def _take_current(self, change: SuspectChange, conflict: Conflict) -> None:
-        """Another node has told something meanwhile: what is still missing is told after it."""
+    def _apply_conflict(self, change: SuspectChange, conflict: Conflict) -> None:
+        """Apply the record that another node has written meanwhile, and schedule another write."""
         for item in conflict.current:
             self.take(item.key, item)
         if not conflict.current and change.revision != ABSENT_REVISION:
-            self._register.take_removal(change.fingerprint)
-        self._register.changed.set()
+            self._registry.take_removal(change.fingerprint)
+        self._registry.changed.set()
--- a/src/hollowrack/quarantine/types.py
+++ b/src/hollowrack/quarantine/types.py
@@ -1,4 +1,4 @@
-"""What nodes keep in the coordination store about requests that ended workers."""
+"""Suspect records in the coordination store, and changes of them."""
 
 from dataclasses import dataclass
 
@@ -8,10 +8,11 @@
 @message("quarantine.suspect")
 @dataclass(frozen=True)
 class SuspectRecord:
-    """The workers that ended while they ran one request.
+    """Record of the workers that crashed while they ran one request.
 
     Attributes:
-        ended_workers: Their lives as texts; see :class:`hollowrack.forwarding.types.WorkerLife`.
+        ended_workers: Texts of the crashed incarnations; see
+            :class:`hollowrack.forwarding.types.WorkerLife`.
     """
 
     ended_workers: tuple[str, ...]
@@ -19,11 +20,11 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """Why a request is not sent to workers.
+    """State of a quarantined request.
 
     Attributes:
-        num_ended: How many workers ended under it.
-        remaining_s: How long it stays so on this node, in seconds.
+        num_ended: Number of worker incarnations that crashed under it.
+        remaining_s: Time until the quarantine ends on this node, in seconds.
     """
 
     num_ended: int
@@ -32,12 +33,12 @@
 
 @dataclass(frozen=True)
 class SuspectChange:
-    """What the store does not hold yet of one request.
+    """Pending change of the store's record of one request.
 
     Attributes:
-        fingerprint: The request's.
-        ended_workers: Lives of workers known to have ended under it; empty to remove its record.
-        revision: Revision of its record as this node has seen it last.
+        fingerprint: Fingerprint of the request.
+        ended_workers: Texts of the incarnations that crashed under it; empty to remove the record.
+        revision: Last revision of the record known to this node.
     """
 
     fingerprint: str
--- a/src/hollowrack/quarantine/worker_ends.py
+++ b/src/hollowrack/quarantine/worker_ends.py
@@ -1,4 +1,4 @@
-"""Tells a worker that has ended from a connection that broke."""
+"""Crash detector: distinguishes crashed workers from broken connections."""
 
 import asyncio
 from collections import Counter
@@ -12,24 +12,24 @@
 
 
 class BreakCause(Enum):
-    """What is known of a worker that broke a request off."""
+    """State of a worker that closed the connection of a request; names are metric labels."""
 
     ENDED = "it has ended: nothing listens at its address, or a later life does"
     UNPROVEN = "it has not been shown to have ended"
 
 
 class WorkerEnds:
-    """Looks after each worker that broke a request off.
+    """Checks whether a worker that closed the connection of a request has crashed.
 
-    A worker that ends breaks everything off that it runs, so one look answers for all of them.
+    A crash interrupts all requests of a worker, so that concurrent disconnects share one check.
 
     Args:
-        back_ends: Looks whether a worker listens.
-        on_ended: Called with the fingerprint of a request, the life of the worker that ended under
-            it, and whether the request goes on.
+        back_ends: Checks whether a worker has ended.
+        on_ended: Called for each crash with the fingerprint of the request, the incarnation of the
+            worker, and whether this node retries the request until it is complete.
 
     Attributes:
-        num_breaks: How many requests were broken off, by cause.
+        num_breaks: Number of interrupted requests, by cause.
     """
 
     def __init__(
@@ -38,31 +38,33 @@
         self.num_breaks: Counter[BreakCause] = Counter()
         self._back_ends = back_ends
         self._on_ended = on_ended
-        self._looks: dict[WorkerLife, asyncio.Task[bool]] = {}
-        self._notes: set[asyncio.Task[None]] = set()
+        self._checks: dict[WorkerLife, asyncio.Task[bool]] = {}
+        self._reports: set[asyncio.Task[None]] = set()
 
     def note_break(
         self, request_id: str, fingerprint: str, worker: Worker, goes_on: bool = False
     ) -> None:
-        """A worker broke a request off: find out in the background whether it has ended."""
-        look = self._looks.get(worker.life)
-        if look is None:
-            look = asyncio.create_task(self._back_ends.has_ended(worker))
-            self._looks[worker.life] = look
-            look.add_done_callback(lambda _: self._looks.pop(worker.life, None))
-        note = asyncio.create_task(self._note(request_id, fingerprint, worker, look, goes_on))
-        self._notes.add(note)
-        note.add_done_callback(self._notes.discard)
+        """Record an interrupted request, and check in the background whether its worker crashed."""
+        check = self._checks.get(worker.life)
+        if check is None:
+            check = asyncio.create_task(self._back_ends.has_ended(worker))
+            self._checks[worker.life] = check
+            check.add_done_callback(lambda _: self._checks.pop(worker.life, None))
+        report_task = asyncio.create_task(
+            self._report(request_id, fingerprint, worker, check, goes_on)
+        )
+        self._reports.add(report_task)
+        report_task.add_done_callback(self._reports.discard)
 
-    async def _note(
+    async def _report(
         self,
         request_id: str,
         fingerprint: str,
         worker: Worker,
-        look: asyncio.Task[bool],
+        check: asyncio.Task[bool],
         goes_on: bool,
     ) -> None:
-        cause = BreakCause.ENDED if await asyncio.shield(look) else BreakCause.UNPROVEN
+        cause = BreakCause.ENDED if await asyncio.shield(check) else BreakCause.UNPROVEN
         self.num_breaks[cause] += 1
         logging.info(
             "request %s with fingerprint %s: broken off by worker %s, %s",
