--- a/src/hollowrack/slots/holder.py
+++ b/src/hollowrack/slots/holder.py
@@ -254,7 +254,7 @@
         texts = tuple(str(incarnation) for incarnation in incarnations)
         indices = {text: index for index, text in enumerate(texts)}
         work = _most_urgent(self._source.open_work(service, indices))
-        if not any(one.num_waiting for one in work):
+        if not any(entry.num_waiting for entry in work):
             self._release_unused(state, workers)
         grant = state.grant
         is_in_force = grant is not None and now_s() < grant.expires_s
