--- a/src/hollowrack/quarantine/worker_ends.py
+++ b/src/hollowrack/quarantine/crash_detector.py
@@ -8,50 +8,50 @@
 from absl import logging
 
 from hollowrack.forwarding.back_end import BackEndClient
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
 
 
-class BreakCause(Enum):
+class DisconnectCause(Enum):
     """State of a worker that closed the connection of a request; names are metric labels."""
 
     ENDED = "it has ended: nothing listens at its address, or a later life does"
     UNPROVEN = "it has not been shown to have ended"
 
 
-class WorkerEnds:
+class CrashDetector:
     """Checks whether a worker that closed the connection of a request has crashed.
 
     A crash interrupts all requests of a worker, so that concurrent disconnects share one check.
 
     Args:
         back_ends: Checks whether a worker has ended.
-        on_ended: Called for each crash with the fingerprint of the request, the incarnation of the
+        on_crash: Called for each crash with the fingerprint of the request, the incarnation of the
             worker, and whether this node retries the request until it is complete.
 
     Attributes:
-        num_breaks: Number of interrupted requests, by cause.
+        num_disconnects: Number of interrupted requests, by cause.
     """
 
     def __init__(
-        self, back_ends: BackEndClient, on_ended: Callable[[str, WorkerLife, bool], None]
+        self, back_ends: BackEndClient, on_crash: Callable[[str, WorkerIncarnation, bool], None]
     ) -> None:
-        self.num_breaks: Counter[BreakCause] = Counter()
+        self.num_disconnects: Counter[DisconnectCause] = Counter()
         self._back_ends = back_ends
-        self._on_ended = on_ended
-        self._checks: dict[WorkerLife, asyncio.Task[bool]] = {}
+        self._on_ended = on_crash
+        self._checks: dict[WorkerIncarnation, asyncio.Task[bool]] = {}
         self._reports: set[asyncio.Task[None]] = set()
 
-    def note_break(
-        self, request_id: str, fingerprint: str, worker: Worker, goes_on: bool = False
+    def record_disconnect(
+        self, request_id: str, fingerprint: str, worker: Worker, is_retried_here: bool = False
     ) -> None:
         """Record an interrupted request, and check in the background whether its worker crashed."""
-        check = self._checks.get(worker.life)
+        check = self._checks.get(worker.incarnation)
         if check is None:
             check = asyncio.create_task(self._back_ends.has_ended(worker))
-            self._checks[worker.life] = check
-            check.add_done_callback(lambda _: self._checks.pop(worker.life, None))
+            self._checks[worker.incarnation] = check
+            check.add_done_callback(lambda _: self._checks.pop(worker.incarnation, None))
         report_task = asyncio.create_task(
-            self._report(request_id, fingerprint, worker, check, goes_on)
+            self._report(request_id, fingerprint, worker, check, is_retried_here)
         )
         self._reports.add(report_task)
         report_task.add_done_callback(self._reports.discard)
@@ -64,14 +64,14 @@
         check: asyncio.Task[bool],
         goes_on: bool,
     ) -> None:
-        cause = BreakCause.ENDED if await asyncio.shield(check) else BreakCause.UNPROVEN
-        self.num_breaks[cause] += 1
+        cause = DisconnectCause.ENDED if await asyncio.shield(check) else DisconnectCause.UNPROVEN
+        self.num_disconnects[cause] += 1
         logging.info(
             "request %s with fingerprint %s: broken off by worker %s, %s",
             request_id,
             fingerprint,
-            worker.life,
+            worker.incarnation,
             cause.value,
         )
-        if cause is BreakCause.ENDED:
-            self._on_ended(fingerprint, worker.life, goes_on)
+        if cause is DisconnectCause.ENDED:
+            self._on_ended(fingerprint, worker.incarnation, goes_on)
--- a/src/hollowrack/quarantine/places.py
+++ b/src/hollowrack/quarantine/placement.py
@@ -6,39 +6,41 @@
 
 from collections import Counter, defaultdict
 
-from hollowrack.forwarding.types import WorkerLife
-from hollowrack.quarantine.register import NUM_ENDS, SuspectRegister
+from hollowrack.forwarding.types import WorkerIncarnation
+from hollowrack.quarantine.registry import QUARANTINE_CRASH_THRESHOLD, SuspectRegistry
 
 # One more crash quarantines such a request.
-NUM_ENDS_KEPT_APART = NUM_ENDS - 1
+ISOLATION_CRASH_THRESHOLD = QUARANTINE_CRASH_THRESHOLD - 1
 
 
-class SuspectPlaces:
+class SuspectPlacement:
     """Records where this node runs suspects, and decides which workers they may use.
 
     Args:
         register: Suspects known to this node.
     """
 
-    def __init__(self, register: SuspectRegister) -> None:
+    def __init__(self, register: SuspectRegistry) -> None:
         self._registry = register
-        self._suspects_at: defaultdict[WorkerLife, Counter[str]] = defaultdict(Counter)
+        self._suspects_at: defaultdict[WorkerIncarnation, Counter[str]] = defaultdict(Counter)
 
-    def allows(self, fingerprint: str, worker: WorkerLife) -> bool:
+    def allows(self, fingerprint: str, worker: WorkerIncarnation) -> bool:
         """Return whether a request may start at a worker, given the suspects that run there."""
-        num_ended = self._registry.num_ended(fingerprint)
+        num_ended = self._registry.num_crashes(fingerprint)
         if num_ended == 0 or worker not in self._suspects_at:
             return True
         others = [other for other in self._suspects_at[worker] if other != fingerprint]
-        max_other_crashes = max((self._registry.num_ended(other) for other in others), default=0)
-        return max_other_crashes == 0 or max(num_ended, max_other_crashes) < NUM_ENDS_KEPT_APART
+        max_other_crashes = max((self._registry.num_crashes(other) for other in others), default=0)
+        return (
+            max_other_crashes == 0 or max(num_ended, max_other_crashes) < ISOLATION_CRASH_THRESHOLD
+        )
 
-    def begin(self, fingerprint: str, worker: WorkerLife) -> None:
+    def begin(self, fingerprint: str, worker: WorkerIncarnation) -> None:
         """Record the start of a request at a worker."""
-        if self._registry.num_ended(fingerprint) > 0:
+        if self._registry.num_crashes(fingerprint) > 0:
             self._suspects_at[worker][fingerprint] += 1
 
-    def end(self, fingerprint: str, worker: WorkerLife) -> None:
+    def end(self, fingerprint: str, worker: WorkerIncarnation) -> None:
         """Record the end of a request at a worker."""
         suspects = self._suspects_at.get(worker)
         if suspects is None or fingerprint not in suspects:
--- a/src/hollowrack/quarantine/quarantine.py
+++ b/src/hollowrack/quarantine/quarantine.py
@@ -2,10 +2,10 @@
 
 from hollowrack.forwarding.back_end import BackEndClient
 from hollowrack.forwarding.types import Worker
-from hollowrack.quarantine.places import SuspectPlaces
-from hollowrack.quarantine.register import SuspectRegister
-from hollowrack.quarantine.types import Verdict
-from hollowrack.quarantine.worker_ends import WorkerEnds
+from hollowrack.quarantine.crash_detector import CrashDetector
+from hollowrack.quarantine.placement import SuspectPlacement
+from hollowrack.quarantine.registry import SuspectRegistry
+from hollowrack.quarantine.types import QuarantineState
 from hollowrack.results import Problem, ResultCode
 
 
@@ -16,18 +16,18 @@
         back_ends: Checks whether a worker that closed a connection has crashed.
 
     Attributes:
-        register: Suspects known to this node.
-        worker_ends: Distinguishes crashes from broken connections.
-        places: Keeps suspects on separate workers.
+        registry: Suspects known to this node.
+        crash_detector: Distinguishes crashes from broken connections.
+        suspect_placement: Keeps suspects on separate workers.
     """
 
     def __init__(self, back_ends: BackEndClient) -> None:
-        self.register = SuspectRegister()
-        self.worker_ends = WorkerEnds(back_ends, self.register.note_ended)
-        self.places = SuspectPlaces(self.register)
+        self.registry = SuspectRegistry()
+        self.crash_detector = CrashDetector(back_ends, self.registry.record_crash)
+        self.suspect_placement = SuspectPlacement(self.registry)
 
-    def note_break(
-        self, request_id: str, fingerprint: str, worker: Worker, goes_on: bool = False
+    def record_disconnect(
+        self, request_id: str, fingerprint: str, worker: Worker, is_retried_here: bool = False
     ) -> None:
         """Record that a worker closed the connection before the answer was complete.
 
@@ -35,31 +35,31 @@
             request_id: Identifier of the attempt, for the log.
             fingerprint: Fingerprint of the request.
             worker: Worker that closed the connection.
-            goes_on: Whether this node retries the request until it is complete.
+            is_retried_here: Whether this node retries the request until it is complete.
         """
-        self.worker_ends.note_break(request_id, fingerprint, worker, goes_on)
+        self.crash_detector.record_disconnect(request_id, fingerprint, worker, is_retried_here)
 
-    def note_good(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Record that a worker answered a request successfully."""
-        self.register.note_good(fingerprint)
+        self.registry.record_success(fingerprint)
 
-    def note_left(self, fingerprint: str) -> None:
+    def record_abandoned(self, fingerprint: str) -> None:
         """Record that this node stopped running an incomplete request; other nodes may run it."""
-        self.register.note_left(fingerprint)
+        self.registry.record_abandoned(fingerprint)
 
-    def verdict(self, fingerprint: str) -> Verdict | None:
+    def quarantine_state(self, fingerprint: str) -> QuarantineState | None:
         """Return the quarantine state of a request; ``None`` if it may be sent to workers."""
-        return self.register.verdict(fingerprint)
+        return self.registry.quarantine_state(fingerprint)
 
     async def wait_until_lifted(self, fingerprint: str) -> None:
         """Wait until a request is not quarantined."""
-        await self.register.wait_until_lifted(fingerprint)
+        await self.registry.wait_until_lifted(fingerprint)
 
 
-def refusal(verdict: Verdict, fingerprint: str, request_id: str) -> Problem:
+def quarantine_problem(verdict: QuarantineState, fingerprint: str, request_id: str) -> Problem:
     """Return the problem for an attempt that was not sent to a worker because of a quarantine."""
     detail = (
-        f"{verdict.num_ended} workers have crashed under the request of fingerprint {fingerprint}"
+        f"{verdict.num_crashes} workers have crashed under the request of fingerprint {fingerprint}"
     )
     return Problem(
         ResultCode.REQUEST_QUARANTINED, detail, request_id, round(verdict.remaining_s, 1)
--- a/src/hollowrack/quarantine/register.py
+++ b/src/hollowrack/quarantine/registry.py
@@ -1,7 +1,7 @@
 """Registry of suspects: requests under which workers have crashed, as known to one node.
 
-A request is quarantined once :data:`NUM_ENDS` worker incarnations have crashed under it, over all
-nodes and attempts. A successful answer by any worker clears the request.
+A request is quarantined once :data:`QUARANTINE_CRASH_THRESHOLD` worker incarnations have crashed
+under it, over all nodes and attempts. A successful answer by any worker clears the request.
 """
 
 import asyncio
@@ -13,19 +13,19 @@
 
 from hollowrack.clock import now_s
 from hollowrack.coordination.store import ABSENT_REVISION
-from hollowrack.forwarding.types import WorkerLife
-from hollowrack.quarantine.types import SuspectChange, Verdict
+from hollowrack.forwarding.types import WorkerIncarnation
+from hollowrack.quarantine.types import QuarantineState, SuspectChange
 
 # Above the number of crashes that a harmless request may see because of others at its workers.
-NUM_ENDS = 3
+QUARANTINE_CRASH_THRESHOLD = 3
 # From this number on, crashes are shared with other nodes even while this node retries the request.
-NUM_ENDS_TOLD_AT_ONCE = 2
+IMMEDIATE_SHARING_CRASH_THRESHOLD = 2
 # After this time the request may be sent again, as its workers may have been fixed.
 QUARANTINE_S = 3600.0
 # A crash within this time after a success is not attributed to the request. Protects requests that
 # many callers send concurrently when several workers are lost together.
-GOOD_FOR_S = 5.0
-MAX_GOOD = 4096
+SUCCESS_TTL_S = 5.0
+MAX_RECENT_SUCCESSES = 4096
 MAX_SUSPECTS = 1024
 
 
@@ -50,7 +50,7 @@
     since_s: float = 0.0
 
 
-class SuspectRegister:
+class SuspectRegistry:
     """Suspected and quarantined requests, by fingerprint.
 
     Attributes:
@@ -71,66 +71,76 @@
     @property
     def num_quarantined(self) -> int:
         """Number of quarantined requests."""
-        return sum(self.verdict(fingerprint) is not None for fingerprint in self._suspects)
+        return sum(self.quarantine_state(fingerprint) is not None for fingerprint in self._suspects)
 
-    def note_ended(self, fingerprint: str, worker: WorkerLife, goes_on: bool) -> None:
+    def record_crash(
+        self, fingerprint: str, worker: WorkerIncarnation, is_retried_here: bool
+    ) -> None:
         """Record that a worker crashed while it ran a request.
 
         Args:
             fingerprint: Fingerprint of the request.
             worker: Incarnation of the worker.
-            goes_on: Whether this node retries the request until it is complete, so that a first
-                crash need not be shared with other nodes.
+            is_retried_here: Whether this node retries the request until it is complete, so that a
+                first crash need not be shared with other nodes.
         """
         last_success_s = self._last_success_s.get(fingerprint)
-        if last_success_s is not None and now_s() - last_success_s < GOOD_FOR_S:
+        if last_success_s is not None and now_s() - last_success_s < SUCCESS_TTL_S:
             return
         suspect = self._get_or_add(fingerprint)
         suspect.is_cleared = False
         self._add_crashes(fingerprint, suspect, {str(worker)})
-        suspect.must_share |= not goes_on or len(suspect.crashed) >= NUM_ENDS_TOLD_AT_ONCE
+        suspect.must_share |= (
+            not is_retried_here or len(suspect.crashed) >= IMMEDIATE_SHARING_CRASH_THRESHOLD
+        )
         self.changed.set()
 
-    def note_left(self, fingerprint: str) -> None:
+    def record_abandoned(self, fingerprint: str) -> None:
         """Record that this node stopped running an incomplete request; other nodes may run it."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and not suspect.is_cleared:
             suspect.must_share = True
             self.changed.set()
 
-    def note_good(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Record that a worker answered a request successfully, and clear the request."""
         self._last_success_s[fingerprint] = now_s()
         self._last_success_s.move_to_end(fingerprint)
-        if len(self._last_success_s) > MAX_GOOD:
+        if len(self._last_success_s) > MAX_RECENT_SUCCESSES:
             self._last_success_s.popitem(last=False)
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and not suspect.is_cleared:
             self._clear(fingerprint)
 
-    def verdict(self, fingerprint: str) -> Verdict | None:
+    def quarantine_state(self, fingerprint: str) -> QuarantineState | None:
         """Return the quarantine state of a request; ``None`` if it may be sent to workers."""
         suspect = self._suspects.get(fingerprint)
-        if suspect is None or suspect.is_cleared or len(suspect.crashed) < NUM_ENDS:
+        if (
+            suspect is None
+            or suspect.is_cleared
+            or len(suspect.crashed) < QUARANTINE_CRASH_THRESHOLD
+        ):
             return None
         remaining_s = suspect.since_s + QUARANTINE_S - now_s()
-        return Verdict(len(suspect.crashed), remaining_s) if remaining_s > 0.0 else None
+        return QuarantineState(len(suspect.crashed), remaining_s) if remaining_s > 0.0 else None
 
-    def num_ended(self, fingerprint: str) -> int:
+    def num_crashes(self, fingerprint: str) -> int:
         """Return the number of worker incarnations known to have crashed under a request."""
         suspect = self._suspects.get(fingerprint)
         return 0 if suspect is None or suspect.is_cleared else len(suspect.crashed)
 
     async def wait_until_lifted(self, fingerprint: str) -> None:
         """Wait until a request is not quarantined."""
-        while (verdict := self.verdict(fingerprint)) is not None:
+        while (verdict := self.quarantine_state(fingerprint)) is not None:
             try:
                 async with asyncio.timeout(verdict.remaining_s):
                     await self._quarantine_lifted.wait()
             except TimeoutError:
                 continue
 
-    def take(self, fingerprint: str, ended_workers: Iterable[str], revision: int) -> None:
+    def update_from_record(
+        self, fingerprint: str, ended_workers: Iterable[str], revision: int
+    ) -> None:
         """Apply the store's record of a request, unless its revision is known already."""
         suspect = self._get_or_add(fingerprint)
         if revision <= suspect.revision:
@@ -140,7 +150,7 @@
         self._add_crashes(fingerprint, suspect, suspect.shared)
         self.changed.set()
 
-    def take_removal(self, fingerprint: str) -> None:
+    def remove_record(self, fingerprint: str) -> None:
         """Remove a request whose record was removed from the store (cleared or expired)."""
         if fingerprint in self._suspects:
             self._remove(fingerprint)
@@ -181,7 +191,7 @@
             fingerprint for fingerprint, suspect in self._suspects.items() if not suspect.is_cleared
         )
         not_quarantined = (
-            fingerprint for fingerprint in older if self.verdict(fingerprint) is None
+            fingerprint for fingerprint in older if self.quarantine_state(fingerprint) is None
         )
         evicted = next(not_quarantined, older[0])
         logging.warning(
@@ -209,9 +219,9 @@
 
     def _add_crashes(self, fingerprint: str, suspect: _Suspect, workers: Collection[str]) -> None:
         """Add crashed workers to a suspect; logs a warning when that quarantines the request."""
-        was_below_limit = len(suspect.crashed) < NUM_ENDS
+        was_below_limit = len(suspect.crashed) < QUARANTINE_CRASH_THRESHOLD
         suspect.crashed.update(workers)
-        if was_below_limit and len(suspect.crashed) >= NUM_ENDS:
+        if was_below_limit and len(suspect.crashed) >= QUARANTINE_CRASH_THRESHOLD:
             logging.warning(
                 "request with fingerprint %s: quarantined for %.0f s, workers crashed under it: %s",
                 fingerprint,
--- a/src/hollowrack/quarantine/sharing.py
+++ b/src/hollowrack/quarantine/replicator.py
@@ -23,21 +23,21 @@
     StoredItem,
 )
 from hollowrack.messages import codec
-from hollowrack.quarantine.register import SuspectRegister
+from hollowrack.quarantine.registry import SuspectRegistry
 from hollowrack.quarantine.types import SuspectChange, SuspectRecord
 from hollowrack.results import ResultCode
 from hollowrack.tasks import cancel_all
 
 # Delay before changes are written: a request that succeeds at another worker meanwhile causes no
 # store call. Well below the 3 s within which all nodes must know of a crash.
-GATHER_S = 0.25
-FIRST_RETRY_PAUSE_S = 0.3
-MAX_RETRY_PAUSE_S = 2.0
+BATCH_DELAY_S = 0.25
+INITIAL_BACKOFF_S = 0.3
+MAX_BACKOFF_S = 2.0
 # Interval at which the leader removes expired records.
-LOOK_S = 60.0
+EXPIRY_POLL_INTERVAL_S = 60.0
 
 
-class SuspectSharing:
+class SuspectReplicator:
     """Keeps the suspects of one node and the records in the store in sync.
 
     Args:
@@ -52,7 +52,7 @@
         self,
         prefix: str,
         store: CoordinationStore,
-        register: SuspectRegister,
+        register: SuspectRegistry,
         leadership: Leadership,
         rng: random.Random,
     ) -> None:
@@ -60,7 +60,7 @@
         self._store = store
         self._registry = register
         self._leadership = leadership
-        self._backoff = Backoff(FIRST_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S, rng)
+        self._backoff = Backoff(INITIAL_BACKOFF_S, MAX_BACKOFF_S, rng)
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -71,7 +71,7 @@
         """Stop writing changes to the store."""
         await cancel_all(self._task)
 
-    def take(self, key: str, item: StoredItem | None) -> bool:
+    def apply_change(self, key: str, item: StoredItem | None) -> bool:
         """Apply a changed key.
 
         Args:
@@ -85,11 +85,11 @@
             return False
         fingerprint = unquote(key.removeprefix(self._prefix))
         if item is None:
-            self._registry.take_removal(fingerprint)
+            self._registry.remove_record(fingerprint)
             return True
         record = codec.decode(item.value).value_or(None)
         if isinstance(record, SuspectRecord):
-            self._registry.take(fingerprint, record.ended_workers, item.revision)
+            self._registry.update_from_record(fingerprint, record.ended_workers, item.revision)
         else:
             logging.error(
                 "[%d] record %s is not a suspect record, ignored: remove its key",
@@ -101,10 +101,10 @@
     async def _run(self) -> None:
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(LOOK_S):
+                async with asyncio.timeout(EXPIRY_POLL_INTERVAL_S):
                     await self._registry.changed.wait()
             self._registry.changed.clear()
-            await asyncio.sleep(GATHER_S)
+            await asyncio.sleep(BATCH_DELAY_S)
             await self._write_changes()
 
     async def _write_changes(self) -> None:
@@ -116,7 +116,7 @@
                 self._backoff.reset()
             else:
                 self._registry.changed.set()
-                await asyncio.sleep(self._backoff.next_pause_s())
+                await asyncio.sleep(self._backoff.next_delay_s())
 
     async def _write_change(self, change: SuspectChange) -> bool:
         """Write or remove one record at its known revision; returns whether the store answered."""
@@ -138,14 +138,14 @@
 
     def _apply_written(self, change: SuspectChange, revision: int) -> None:
         if change.ended_workers:
-            self._registry.take(change.fingerprint, change.ended_workers, revision)
+            self._registry.update_from_record(change.fingerprint, change.ended_workers, revision)
         else:
-            self._registry.take_removal(change.fingerprint)
+            self._registry.remove_record(change.fingerprint)
 
     def _apply_conflict(self, change: SuspectChange, conflict: Conflict) -> None:
         """Apply the record that another node has written meanwhile, and schedule another write."""
         for item in conflict.current:
-            self.take(item.key, item)
+            self.apply_change(item.key, item)
         if not conflict.current and change.revision != ABSENT_REVISION:
-            self._registry.take_removal(change.fingerprint)
+            self._registry.remove_record(change.fingerprint)
         self._registry.changed.set()
--- a/src/hollowrack/quarantine/types.py
+++ b/src/hollowrack/quarantine/types.py
@@ -12,22 +12,22 @@
 
     Attributes:
         ended_workers: Texts of the crashed incarnations; see
-            :class:`hollowrack.forwarding.types.WorkerLife`.
+            :class:`hollowrack.forwarding.types.WorkerIncarnation`.
     """
 
     ended_workers: tuple[str, ...]
 
 
 @dataclass(frozen=True)
-class Verdict:
+class QuarantineState:
     """State of a quarantined request.
 
     Attributes:
-        num_ended: Number of worker incarnations that crashed under it.
+        num_crashes: Number of worker incarnations that crashed under it.
         remaining_s: Time until the quarantine ends on this node, in seconds.
     """
 
-    num_ended: int
+    num_crashes: int
     remaining_s: float
 
 
--- a/src/hollowrack/slots/holder.py
+++ b/src/hollowrack/slots/holder.py
@@ -7,31 +7,31 @@
 from absl import logging
 
 from hollowrack.clock import now_s
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
 from hollowrack.forwarding.workers import WorkerDirectory
 from hollowrack.results import Problem, ResultCode
-from hollowrack.slots.log_pace import LogPace
+from hollowrack.slots.log_interval_limiter import LogIntervalLimiter
 from hollowrack.slots.shares import equal_share
 from hollowrack.slots.types import (
-    MAX_LIVES,
+    MAX_INCARNATIONS,
     MAX_WORK,
     OpenWork,
     OpenWorkSource,
     SlotGrant,
     SlotReport,
-    grant_problem,
+    validate_grant,
 )
 
 # Covers a round trip to the leader and the time for which a new leader refuses to grant. Work
 # started earlier would overload workers whose slots are granted to other owners.
-FIRST_GRANT_WAIT_S = 0.6
+FIRST_GRANT_TIMEOUT_S = 0.6
 # Limits are read thousands of times per second, while the set of owners rarely changes.
-SHARES_KEPT_S = 0.1
+EQUAL_SHARE_TTL_S = 0.1
 # While no arbiter acts, the limits of an expired grant stay valid for this long: a switch to equal
 # shares would overload workers where requests run already. Covers the election of a leader.
-NO_ARBITER_S = 10.0
+EXPIRED_GRANT_GRACE_S = 10.0
 # Longer than the longest report interval: each report shows whether an arbiter acts.
-NO_ARBITER_FRESH_S = 1.5
+NO_ARBITER_TTL_S = 1.5
 SHARE_LOG_INTERVAL_S = 1.0
 
 
@@ -52,7 +52,7 @@
 
     fencing_token: int
     number: int
-    limits: dict[WorkerLife, int]
+    limits: dict[WorkerIncarnation, int]
     sent_s: float
     expires_s: float
     is_contended: bool
@@ -76,13 +76,13 @@
     joined_s: float
     grant: _HeldGrant | None = None
     last_report: SlotReport | None = None
-    report_incarnations: tuple[WorkerLife, ...] = ()
+    report_incarnations: tuple[WorkerIncarnation, ...] = ()
     report_sent_s: float = 0.0
     no_arbiter_s: float = -float("inf")
 
 
 @dataclass(frozen=True)
-class SlotUse:
+class SlotUsage:
     """This node's use of a service's slots, for metrics.
 
     Attributes:
@@ -131,12 +131,12 @@
         self._numbers = itertools.count(1)
         self._newest_token = 0
         self._states: dict[str, _ServiceState] = {}
-        self._shares: dict[WorkerLife, int] = {}
+        self._shares: dict[WorkerIncarnation, int] = {}
         self._shares_expire_s = -float("inf")
         self._granted_listeners: list[Callable[[], None]] = []
         self._urgent_listeners: list[Callable[[], None]] = []
-        self._share_log_limiter = LogPace(SHARE_LOG_INTERVAL_S)
-        self._refusal_log_limiter = LogPace(SHARE_LOG_INTERVAL_S)
+        self._share_log_limiter = LogIntervalLimiter(SHARE_LOG_INTERVAL_S)
+        self._refusal_log_limiter = LogIntervalLimiter(SHARE_LOG_INTERVAL_S)
         self._last_logged_shares: dict[str, tuple[int, bool]] = {}
         workers.on_end(self._handle_request_end)
 
@@ -148,7 +148,7 @@
         """Register a listener that is called when a report is due immediately."""
         self._urgent_listeners.append(listener)
 
-    def note_waiting(self) -> None:
+    def notify_waiting(self) -> None:
         """Request an immediate report, as new work has no slot."""
         self._notify_urgent()
 
@@ -157,7 +157,7 @@
         state = self._states.get(worker.service)
         if state is None or state.grant is None or not state.grant.has_waiting:
             return
-        limit = state.grant.limits.get(worker.life, 0)
+        limit = state.grant.limits.get(worker.incarnation, 0)
         is_surplus = self._workers.num_in_flight(worker) >= limit
         if is_surplus or not self._source.has_waiting(worker.service):
             self._notify_urgent()
@@ -170,13 +170,13 @@
 
     def limit(self, worker: Worker) -> int:
         """Return the maximum number of requests of this node in flight at a worker."""
-        if not self.takes_part(worker.service):
+        if not self.shares_slots_of(worker.service):
             return worker.capacity
-        granted = self.granted(worker)
+        granted = self.granted_limit(worker)
         if granted is not None:
             return granted
         state = self._state(worker.service)
-        if state.grant is None and now_s() < state.joined_s + FIRST_GRANT_WAIT_S:
+        if state.grant is None and now_s() < state.joined_s + FIRST_GRANT_TIMEOUT_S:
             return 0
         expired_limit = self._expired_limit(state, worker)
         return self._equal_share(worker) if expired_limit is None else expired_limit
@@ -184,19 +184,19 @@
     def _expired_limit(self, state: _ServiceState, worker: Worker) -> int | None:
         """Limit of the expired grant; ``None`` if an arbiter may have granted its slots since."""
         now = now_s()
-        if state.grant is None or now >= state.grant.expires_s + NO_ARBITER_S:
+        if state.grant is None or now >= state.grant.expires_s + EXPIRED_GRANT_GRACE_S:
             return None
-        if now >= state.no_arbiter_s + NO_ARBITER_FRESH_S:
+        if now >= state.no_arbiter_s + NO_ARBITER_TTL_S:
             return None
-        return state.grant.limits.get(worker.life)
+        return state.grant.limits.get(worker.incarnation)
 
-    def note_no_arbiter(self, service: str) -> None:
+    def record_no_arbiter(self, service: str) -> None:
         """Record that no node grants slots now: there is no leader, or it may not act yet."""
         state = self._states.get(service)
         if state is not None:
             state.no_arbiter_s = now_s()
 
-    def granted(self, worker: Worker) -> int | None:
+    def granted_limit(self, worker: Worker) -> int | None:
         """Return the limit of the grant in force at a worker.
 
         Returns:
@@ -206,9 +206,9 @@
         state = self._states.get(worker.service)
         if state is None or state.grant is None or now_s() >= state.grant.expires_s:
             return None
-        return state.grant.limits.get(worker.life, 0)
+        return state.grant.limits.get(worker.incarnation, 0)
 
-    def takes_part(self, service: str) -> bool:
+    def shares_slots_of(self, service: str) -> bool:
         """Return whether this node owns jobs and the slots of the service are shared."""
         return self._source.num_running > 0 and self._is_shared(service)
 
@@ -216,8 +216,8 @@
         now = now_s()
         if now >= self._shares_expire_s:
             self._shares.clear()
-            self._shares_expire_s = now + SHARES_KEPT_S
-        incarnation = worker.life
+            self._shares_expire_s = now + EQUAL_SHARE_TTL_S
+        incarnation = worker.incarnation
         if incarnation not in self._shares:
             owners = self._known_owners()
             self._shares[incarnation] = equal_share(
@@ -249,8 +249,8 @@
     def report(self, service: str) -> SlotReport:
         """Build a report of the current state; only its answer is accepted from now on."""
         state = self._state(service)
-        workers = self._workers.serving(service)[:MAX_LIVES]
-        incarnations = tuple(worker.life for worker in workers)
+        workers = self._workers.serving(service)[:MAX_INCARNATIONS]
+        incarnations = tuple(worker.incarnation for worker in workers)
         texts = tuple(str(incarnation) for incarnation in incarnations)
         indices = {text: index for index, text in enumerate(texts)}
         work = _most_urgent(self._source.open_work(service, indices))
@@ -282,9 +282,11 @@
         if grant is None or not grant.has_waiting:
             return
         limits = {
-            worker.life: min(grant.limits[worker.life], self._workers.num_in_flight(worker))
+            worker.incarnation: min(
+                grant.limits[worker.incarnation], self._workers.num_in_flight(worker)
+            )
             for worker in workers
-            if worker.life in grant.limits
+            if worker.incarnation in grant.limits
         }
         state.grant = replace(grant, limits={**grant.limits, **limits})
 
@@ -301,7 +303,7 @@
         state = self._states.get(grant.service)
         if state is None or state.last_report is None:
             return self._refuse(grant, "no report of this node awaits an answer")
-        problem = grant_problem(grant, state.last_report)
+        problem = validate_grant(grant, state.last_report)
         if problem is not None:
             return self._refuse(grant, str(problem))
         if grant.fencing_token < self._newest_token:
@@ -335,7 +337,7 @@
 
     def _refuse(self, grant: SlotGrant, reason: str) -> bool:
         self.num_refused += 1
-        if self._refusal_log_limiter.is_due(now_s()):
+        if self._refusal_log_limiter.allow(now_s()):
             logging.warning(
                 "slots: grant %d of %.64s with fencing token %d rejected, %d rejected so far: %s",
                 grant.number,
@@ -348,7 +350,7 @@
 
     def _log_share(self, service: str, grant: _HeldGrant, arbiter: str) -> None:
         share = (sum(grant.limits.values()), grant.is_contended)
-        if self._last_logged_shares.get(service) == share or not self._share_log_limiter.is_due(
+        if self._last_logged_shares.get(service) == share or not self._share_log_limiter.allow(
             now_s()
         ):
             return
@@ -366,15 +368,15 @@
 
     # -- metrics ----------------------------------------------------------------------------
 
-    def use(self, service: str) -> SlotUse:
+    def usage(self, service: str) -> SlotUsage:
         """Return this node's use of a service's slots."""
         used = sum(self._workers.num_in_flight(worker) for worker in self._workers.serving(service))
         state = self._states.get(service)
         grant = None if state is None else state.grant
         if grant is None or now_s() >= grant.expires_s:
-            return SlotUse(0, used, False, None)
+            return SlotUsage(0, used, False, None)
         age_s = now_s() - grant.sent_s
-        return SlotUse(sum(grant.limits.values()), used, grant.is_contended, age_s)
+        return SlotUsage(sum(grant.limits.values()), used, grant.is_contended, age_s)
 
 
 def _most_urgent(works: Iterable[OpenWork]) -> tuple[OpenWork, ...]:
--- a/src/hollowrack/slots/log_pace.py
+++ b/src/hollowrack/slots/log_interval_limiter.py
@@ -1,7 +1,7 @@
 """Rate limiter for repeated log lines."""
 
 
-class LogPace:
+class LogIntervalLimiter:
     """Admits a log line at most once per interval.
 
     Args:
@@ -12,7 +12,7 @@
         self._interval_s = interval_s
         self._next_allowed_s = -float("inf")
 
-    def is_due(self, now_s: float) -> bool:
+    def allow(self, now_s: float) -> bool:
         """Return whether the line may be written now; if so, it counts as written."""
         if now_s < self._next_allowed_s:
             return False
--- a/src/hollowrack/slots/plan.py
+++ b/src/hollowrack/slots/plan.py
@@ -11,7 +11,7 @@
 
 # Prevents starvation: each owner gets at least this fraction of an equal division.
 FLOOR_SHARE = 0.25
-MIN_FLOOR = 1
+MIN_FLOOR_SLOTS = 1
 
 
 @dataclass(frozen=True)
@@ -23,14 +23,14 @@
         due_in_s: Time until its deadline, in seconds; infinite without a deadline.
         num_running: Number of running items.
         num_waiting: Number of items that wait for a slot.
-        lives: Incarnations at which they may run.
+        incarnations: Incarnations at which they may run.
     """
 
     priority: int
     due_in_s: float
     num_running: int
     num_waiting: int
-    lives: Sequence[str]
+    incarnations: Sequence[str]
 
 
 @dataclass(frozen=True)
@@ -48,7 +48,7 @@
     work: Sequence[WorkDemand]
     held: Mapping[str, int] = field(default_factory=dict)
 
-    def kept(self) -> dict[str, int]:
+    def expected_in_flight(self) -> dict[str, int]:
         """Return the requests in flight, by incarnation, once the last grant has taken effect.
 
         Requests above the grant will end; waiting items will use the rest of the grant.
@@ -141,7 +141,7 @@
             self._keep_running,
             self._place_remaining,
         )
-        self._kept = {name: owner.kept() for name, owner in owners.items()}
+        self._kept = {name: owner.expected_in_flight() for name, owner in owners.items()}
         for kept in self._kept.values():
             for incarnation, count in kept.items():
                 if incarnation in self._free:
@@ -176,8 +176,8 @@
         if not names:
             return
         equal_division = sum(self._capacity.values()) / len(names)
-        left = dict.fromkeys(names, max(MIN_FLOOR, int(FLOOR_SHARE * equal_division)))
-        ordered = sorted(demands, key=lambda demand: len(demand.demand.lives))
+        left = dict.fromkeys(names, max(MIN_FLOOR_SLOTS, int(FLOOR_SHARE * equal_division)))
+        ordered = sorted(demands, key=lambda demand: len(demand.demand.incarnations))
         for step in self._steps:
             for demand in ordered:
                 left[demand.owner] -= step(demand, left[demand.owner])
@@ -197,7 +197,9 @@
         """Plan slots held by the owner for items that run at them."""
         owner = self._owners[demand.owner]
         incarnations = [
-            incarnation for incarnation in demand.demand.lives if owner.held.get(incarnation, 0) > 0
+            incarnation
+            for incarnation in demand.demand.incarnations
+            if owner.held.get(incarnation, 0) > 0
         ]
         counts = {
             incarnation: min(owner.held[incarnation], owner.in_flight.get(incarnation, 0))
@@ -209,7 +211,9 @@
         """Plan slots held by the owner, at the workers with most free slots first."""
         held = self._owners[demand.owner].held
         incarnations = [
-            incarnation for incarnation in demand.demand.lives if held.get(incarnation, 0) > 0
+            incarnation
+            for incarnation in demand.demand.incarnations
+            if held.get(incarnation, 0) > 0
         ]
         incarnations.sort(key=lambda incarnation: -self._free.get(incarnation, 0))
         return self._plan_kept(
@@ -219,10 +223,10 @@
     def _keep_running(self, demand: _OpenDemand, max_items: int) -> int:
         """Plan slots for running items, at eligible incarnations first."""
         in_flight = self._owners[demand.owner].in_flight
-        elsewhere = sorted(in_flight.keys() - set(demand.demand.lives))
+        elsewhere = sorted(in_flight.keys() - set(demand.demand.incarnations))
         counts = {
             incarnation: in_flight.get(incarnation, 0)
-            for incarnation in [*demand.demand.lives, *elsewhere]
+            for incarnation in [*demand.demand.incarnations, *elsewhere]
         }
         return self._plan_kept(demand, counts, min(max_items, demand.num_running))
 
@@ -251,7 +255,7 @@
             return 0
         heap = [
             (-self._free[incarnation], -self._unplanned[incarnation], index, incarnation)
-            for index, incarnation in enumerate(demand.demand.lives)
+            for index, incarnation in enumerate(demand.demand.incarnations)
             if self._unplanned.get(incarnation, 0) > 0
         ]
         heapq.heapify(heap)
--- a/src/hollowrack/slots/reporter.py
+++ b/src/hollowrack/slots/reporter.py
@@ -10,18 +10,18 @@
 from hollowrack.results import ResultCode
 from hollowrack.slots.arbiter import SlotArbiter
 from hollowrack.slots.holder import SlotHolder
-from hollowrack.slots.log_pace import LogPace
+from hollowrack.slots.log_interval_limiter import LogIntervalLimiter
 from hollowrack.slots.types import SlotAnswer, SlotGrant, SlotPeers, SlotRefusal, SlotReport
 from hollowrack.tasks import cancel_all
 
 # A slot released by another owner stays idle until the next report of the owner it is planned for.
-OWED_INTERVAL_S = 0.1
+OWED_REPORT_INTERVAL_S = 0.1
 # Unused slots are reassigned within two reports.
-MOVING_INTERVAL_S = 0.2
+ACTIVE_REPORT_INTERVAL_S = 0.2
 # A report without other purpose renews the grant: a third of GRANT_TTL_S.
-QUIET_INTERVAL_S = 1.0
+IDLE_REPORT_INTERVAL_S = 1.0
 # Combines changes that follow each other closely into one report.
-MIN_INTERVAL_S = 0.05
+MIN_REPORT_INTERVAL_S = 0.05
 # A report may be sent this much before it is due, as the loop wakes up at ticks, not at due times.
 TICK_TOLERANCE_S = 0.02
 FAILURE_LOG_INTERVAL_S = 1.0
@@ -59,7 +59,7 @@
         self._peers = peers
         self._is_urgent = asyncio.Event()
         self._last_report_s: dict[str, float] = {}
-        self._failure_log_limiter = LogPace(FAILURE_LOG_INTERVAL_S)
+        self._failure_log_limiter = LogIntervalLimiter(FAILURE_LOG_INTERVAL_S)
         self._task: asyncio.Task[None] | None = None
         holder.on_urgent(self._is_urgent.set)
 
@@ -82,13 +82,13 @@
             is_urgent = self._is_urgent.is_set()
             self._is_urgent.clear()
             try:
-                self._arbiter.note_leadership(now_s())
+                self._arbiter.update_leadership(now_s())
                 await self._report_all(is_urgent)
             except Exception:
                 logging.exception("slots: unexpected error while reporting, continuing")
-            await asyncio.sleep(MIN_INTERVAL_S)
+            await asyncio.sleep(MIN_REPORT_INTERVAL_S)
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(OWED_INTERVAL_S - MIN_INTERVAL_S):
+                async with asyncio.timeout(OWED_REPORT_INTERVAL_S - MIN_REPORT_INTERVAL_S):
                     await self._is_urgent.wait()
 
     async def _report_all(self, is_urgent: bool) -> None:
@@ -100,7 +100,7 @@
         await asyncio.gather(*(self._send(report) for report in reports))
 
     def _due_report(self, service: str, is_urgent: bool) -> SlotReport | None:
-        if not self._holder.takes_part(service):
+        if not self._holder.shares_slots_of(service):
             self._last_report_s.pop(service, None)
             return self._holder.leave(service)
         due_s = self._last_report_s.get(service, -float("inf")) + self._interval_s(service)
@@ -112,20 +112,20 @@
     def _interval_s(self, service: str) -> float:
         """Time between two reports of a service, in seconds."""
         if self._holder.is_owed_slots(service):
-            return OWED_INTERVAL_S
+            return OWED_REPORT_INTERVAL_S
         if self._holder.may_move_slots(service):
-            return MOVING_INTERVAL_S
-        return QUIET_INTERVAL_S
+            return ACTIVE_REPORT_INTERVAL_S
+        return IDLE_REPORT_INTERVAL_S
 
     async def _send(self, report: SlotReport) -> None:
         answer = await self._exchange(report)
         if report.is_leaving:
             return
         if self._leader() is None or _is_not_leader(answer):
-            self._holder.note_no_arbiter(report.service)
+            self._holder.record_no_arbiter(report.service)
         if isinstance(answer, SlotGrant):
             self._holder.accept(answer)
-        elif self._failure_log_limiter.is_due(now_s()):
+        elif self._failure_log_limiter.allow(now_s()):
             reason = "no answer" if answer is None else f"[{answer.code}] {answer.detail}"
             logging.info(
                 "slots of %s: no grant in answer to report %d to leader %s: %s",
--- a/src/hollowrack/slots/types.py
+++ b/src/hollowrack/slots/types.py
@@ -10,7 +10,7 @@
 
 # Bounds on received messages, above the needs of the largest fleet: they limit the memory and time
 # that a faulty message costs the arbiter.
-MAX_LIVES = 4_096
+MAX_INCARNATIONS = 4_096
 MAX_WORK = 512
 MAX_COUNT = 100_000
 MAX_DUE_S = 1e9
@@ -139,21 +139,21 @@
     def has_waiting(self, service: str) -> bool:
         """Return whether any item waits for a slot at a service."""
 
-    def open_work(self, service: str, lives: Mapping[str, int]) -> list[OpenWork]:
+    def open_work(self, service: str, incarnation_positions: Mapping[str, int]) -> list[OpenWork]:
         """Return the open work at a service.
 
         Args:
             service: Name of the service.
-            lives: Index of each incarnation in the report, by the incarnation's text.
+            incarnation_positions: Index of each incarnation in the report, by the incarnation's text.
         """
 
 
-def report_problem(report: SlotReport) -> Problem | None:
+def validate_report(report: SlotReport) -> Problem | None:
     """Return the first problem of a report; ``None`` if it is valid."""
     return next(_report_problems(report), None)
 
 
-def grant_problem(grant: SlotGrant, report: SlotReport) -> Problem | None:
+def validate_grant(grant: SlotGrant, report: SlotReport) -> Problem | None:
     """Return the first problem of a grant; ``None`` if it is valid.
 
     Args:
@@ -178,7 +178,7 @@
 def _report_problems(report: SlotReport) -> Iterator[Problem]:
     if not 0 < len(report.owner) <= MAX_NAME_LENGTH:
         yield _invalid("the name of the owner is empty or too long", "owner")
-    if len(report.lives) > MAX_LIVES or len(set(report.lives)) != len(report.lives):
+    if len(report.lives) > MAX_INCARNATIONS or len(set(report.lives)) != len(report.lives):
         yield _invalid("too many incarnations, or one is listed twice", "lives")
     if any(len(incarnation) > MAX_NAME_LENGTH for incarnation in report.lives):
         yield _invalid("the name of an incarnation is too long", "lives")
