--- a/src/hollowrack/quarantine/crash_detector.py
+++ b/src/hollowrack/quarantine/crash_detector.py
@@ -37,7 +37,7 @@
     ) -> None:
         self.num_disconnects: Counter[DisconnectCause] = Counter()
         self._back_ends = back_ends
-        self._on_ended = on_crash
+        self._on_crash = on_crash
         self._checks: dict[WorkerIncarnation, asyncio.Task[bool]] = {}
         self._reports: set[asyncio.Task[None]] = set()
 
@@ -62,7 +62,7 @@
         fingerprint: str,
         worker: Worker,
         check: asyncio.Task[bool],
-        goes_on: bool,
+        is_retried_here: bool,
     ) -> None:
         cause = DisconnectCause.ENDED if await asyncio.shield(check) else DisconnectCause.UNPROVEN
         self.num_disconnects[cause] += 1
@@ -74,4 +74,4 @@
             cause.value,
         )
         if cause is DisconnectCause.ENDED:
-            self._on_ended(fingerprint, worker.incarnation, goes_on)
+            self._on_crash(fingerprint, worker.incarnation, is_retried_here)
--- a/src/hollowrack/quarantine/placement.py
+++ b/src/hollowrack/quarantine/placement.py
@@ -17,22 +17,23 @@
     """Records where this node runs suspects, and decides which workers they may use.
 
     Args:
-        register: Suspects known to this node.
+        registry: Suspects known to this node.
     """
 
-    def __init__(self, register: SuspectRegistry) -> None:
-        self._registry = register
+    def __init__(self, registry: SuspectRegistry) -> None:
+        self._registry = registry
         self._suspects_at: defaultdict[WorkerIncarnation, Counter[str]] = defaultdict(Counter)
 
     def allows(self, fingerprint: str, worker: WorkerIncarnation) -> bool:
         """Return whether a request may start at a worker, given the suspects that run there."""
-        num_ended = self._registry.num_crashes(fingerprint)
-        if num_ended == 0 or worker not in self._suspects_at:
+        num_crashes = self._registry.num_crashes(fingerprint)
+        if num_crashes == 0 or worker not in self._suspects_at:
             return True
         others = [other for other in self._suspects_at[worker] if other != fingerprint]
         max_other_crashes = max((self._registry.num_crashes(other) for other in others), default=0)
         return (
-            max_other_crashes == 0 or max(num_ended, max_other_crashes) < ISOLATION_CRASH_THRESHOLD
+            max_other_crashes == 0
+            or max(num_crashes, max_other_crashes) < ISOLATION_CRASH_THRESHOLD
         )
 
     def begin(self, fingerprint: str, worker: WorkerIncarnation) -> None:
--- a/src/hollowrack/quarantine/quarantine.py
+++ b/src/hollowrack/quarantine/quarantine.py
@@ -56,11 +56,9 @@
         await self.registry.wait_until_lifted(fingerprint)
 
 
-def quarantine_problem(verdict: QuarantineState, fingerprint: str, request_id: str) -> Problem:
+def quarantine_problem(state: QuarantineState, fingerprint: str, request_id: str) -> Problem:
     """Return the problem for an attempt that was not sent to a worker because of a quarantine."""
     detail = (
-        f"{verdict.num_crashes} workers have crashed under the request of fingerprint {fingerprint}"
-    )
-    return Problem(
-        ResultCode.REQUEST_QUARANTINED, detail, request_id, round(verdict.remaining_s, 1)
+        f"{state.num_crashes} workers have crashed under the request of fingerprint {fingerprint}"
     )
+    return Problem(ResultCode.REQUEST_QUARANTINED, detail, request_id, round(state.remaining_s, 1))
--- a/src/hollowrack/quarantine/registry.py
+++ b/src/hollowrack/quarantine/registry.py
@@ -131,9 +131,9 @@
 
     async def wait_until_lifted(self, fingerprint: str) -> None:
         """Wait until a request is not quarantined."""
-        while (verdict := self.quarantine_state(fingerprint)) is not None:
+        while (state := self.quarantine_state(fingerprint)) is not None:
             try:
-                async with asyncio.timeout(verdict.remaining_s):
+                async with asyncio.timeout(state.remaining_s):
                     await self._quarantine_lifted.wait()
             except TimeoutError:
                 continue
--- a/src/hollowrack/quarantine/replicator.py
+++ b/src/hollowrack/quarantine/replicator.py
@@ -43,7 +43,7 @@
     Args:
         prefix: Key prefix of the records.
         store: Coordination store.
-        register: Suspects known to this node.
+        registry: Suspects known to this node.
         leadership: Leadership state of this node; the leader removes expired records.
         rng: Source of the backoff jitter.
     """
@@ -52,13 +52,13 @@
         self,
         prefix: str,
         store: CoordinationStore,
-        register: SuspectRegistry,
+        registry: SuspectRegistry,
         leadership: Leadership,
         rng: random.Random,
     ) -> None:
         self._prefix = prefix
         self._store = store
-        self._registry = register
+        self._registry = registry
         self._leadership = leadership
         self._backoff = Backoff(INITIAL_BACKOFF_S, MAX_BACKOFF_S, rng)
         self._task: asyncio.Task[None] | None = None
--- a/src/hollowrack/slots/types.py
+++ b/src/hollowrack/slots/types.py
@@ -144,7 +144,7 @@
 
         Args:
             service: Name of the service.
-            incarnation_positions: Index of each incarnation in the report, by the incarnation's text.
+            incarnation_positions: Index of each incarnation in the report, by its text.
         """
 
 
