--- a/src/hollowrack/quarantine/crash_detector.py
+++ b/src/hollowrack/quarantine/crash_detector.py
@@ -14,8 +14,8 @@
 class DisconnectCause(Enum):
     """State of a worker that closed the connection of a request; names are metric labels."""
 
-    ENDED = "it has ended: nothing listens at its address, or a later life does"
-    UNPROVEN = "it has not been shown to have ended"
+    ENDED = "which has crashed: nothing listens at its address, or a later incarnation does"
+    UNPROVEN = "which is not known to have crashed"
 
 
 class CrashDetector:
@@ -67,7 +67,7 @@
         cause = DisconnectCause.ENDED if await asyncio.shield(check) else DisconnectCause.UNPROVEN
         self.num_disconnects[cause] += 1
         logging.info(
-            "request %s with fingerprint %s: broken off by worker %s, %s",
+            "request %s with fingerprint %s: interrupted by worker %s, %s",
             request_id,
             fingerprint,
             worker.incarnation,
