--- a/src/hollowrack/quarantine/crash_detector.py
+++ b/src/hollowrack/quarantine/crash_detector.py
@@ -1,4 +1,4 @@
-"""Tells a worker that has ended from a connection that broke."""
+"""Crash detector: distinguishes crashed workers from broken connections."""
 
 import asyncio
 from collections import Counter
@@ -12,24 +12,24 @@
 
 
 class DisconnectCause(Enum):
-    """What is known of a worker that broke a request off."""
+    """State of a worker that closed the connection of a request; names are metric labels."""
 
-    ENDED = "it has ended: nothing listens at its address, or a later life does"
-    UNPROVEN = "it has not been shown to have ended"
+    ENDED = "which has crashed: nothing listens at its address, or a later incarnation does"
+    UNPROVEN = "which is not known to have crashed"
 
 
 class CrashDetector:
-    """Looks after each worker that broke a request off.
+    """Checks whether a worker that closed the connection of a request has crashed.
 
-    A worker that ends breaks everything off that it runs, so one look answers for all of them.
+    A crash interrupts all requests of a worker, so that concurrent disconnects share one check.
 
     Args:
-        back_ends: Looks whether a worker listens.
-        on_crash: Called with the fingerprint of a request, the life of the worker that ended under
-            it, and whether the request goes on.
+        back_ends: Checks whether a worker has ended.
+        on_crash: Called for each crash with the fingerprint of the request, the incarnation of the
+            worker, and whether this node retries the request until it is complete.
 
     Attributes:
-        num_disconnects: How many requests were broken off, by cause.
+        num_disconnects: Number of interrupted requests, by cause.
     """
 
     def __init__(
@@ -37,41 +37,41 @@
     ) -> None:
         self.num_disconnects: Counter[DisconnectCause] = Counter()
         self._back_ends = back_ends
-        self._on_ended = on_crash
-        self._looks: dict[WorkerIncarnation, asyncio.Task[bool]] = {}
-        self._notes: set[asyncio.Task[None]] = set()
+        self._on_crash = on_crash
+        self._checks: dict[WorkerIncarnation, asyncio.Task[bool]] = {}
+        self._reports: set[asyncio.Task[None]] = set()
 
     def record_disconnect(
         self, request_id: str, fingerprint: str, worker: Worker, is_retried_here: bool = False
     ) -> None:
-        """A worker broke a request off: find out in the background whether it has ended."""
-        look = self._looks.get(worker.incarnation)
-        if look is None:
-            look = asyncio.create_task(self._back_ends.has_ended(worker))
-            self._looks[worker.incarnation] = look
-            look.add_done_callback(lambda _: self._looks.pop(worker.incarnation, None))
-        note = asyncio.create_task(
-            self._note(request_id, fingerprint, worker, look, is_retried_here)
+        """Record an interrupted request, and check in the background whether its worker crashed."""
+        check = self._checks.get(worker.incarnation)
+        if check is None:
+            check = asyncio.create_task(self._back_ends.has_ended(worker))
+            self._checks[worker.incarnation] = check
+            check.add_done_callback(lambda _: self._checks.pop(worker.incarnation, None))
+        report_task = asyncio.create_task(
+            self._report(request_id, fingerprint, worker, check, is_retried_here)
         )
-        self._notes.add(note)
-        note.add_done_callback(self._notes.discard)
+        self._reports.add(report_task)
+        report_task.add_done_callback(self._reports.discard)
 
-    async def _note(
+    async def _report(
         self,
         request_id: str,
         fingerprint: str,
         worker: Worker,
-        look: asyncio.Task[bool],
-        goes_on: bool,
+        check: asyncio.Task[bool],
+        is_retried_here: bool,
     ) -> None:
-        cause = DisconnectCause.ENDED if await asyncio.shield(look) else DisconnectCause.UNPROVEN
+        cause = DisconnectCause.ENDED if await asyncio.shield(check) else DisconnectCause.UNPROVEN
         self.num_disconnects[cause] += 1
         logging.info(
-            "request %s with fingerprint %s: broken off by worker %s, %s",
+            "request %s with fingerprint %s: interrupted by worker %s, %s",
             request_id,
             fingerprint,
             worker.incarnation,
             cause.value,
         )
         if cause is DisconnectCause.ENDED:
-            self._on_ended(fingerprint, worker.incarnation, goes_on)
+            self._on_crash(fingerprint, worker.incarnation, is_retried_here)
--- a/src/hollowrack/quarantine/quarantine.py
+++ b/src/hollowrack/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""What those who send requests to workers ask and tell about crashing requests."""
+"""Quarantine facade: used by the forwarders to report and check crashing requests."""
 
 from hollowrack.forwarding.back_end import BackEndClient
 from hollowrack.forwarding.types import Worker
@@ -10,15 +10,15 @@
 
 
 class Quarantine:
-    """Keeps requests that end their workers from further workers.
+    """Prevents requests that crash workers from being sent to further workers.
 
     Args:
-        back_ends: Looks whether workers that broke requests off have ended.
+        back_ends: Checks whether a worker that closed a connection has crashed.
 
     Attributes:
-        registry: What is known of crashing requests.
-        crash_detector: Tells ends of workers from broken connections.
-        suspect_placement: Keeps suspects apart.
+        registry: Suspects known to this node.
+        crash_detector: Distinguishes crashes from broken connections.
+        suspect_placement: Keeps suspects on separate workers.
     """
 
     def __init__(self, back_ends: BackEndClient) -> None:
@@ -29,38 +29,36 @@
     def record_disconnect(
         self, request_id: str, fingerprint: str, worker: Worker, is_retried_here: bool = False
     ) -> None:
-        """A worker broke a request off.
+        """Record that a worker closed the connection before the answer was complete.
 
         Args:
-            request_id: The try's identifier.
-            fingerprint: The request's.
-            worker: The worker.
-            is_retried_here: Whether this node runs the request until it is whole.
+            request_id: Identifier of the attempt, for the log.
+            fingerprint: Fingerprint of the request.
+            worker: Worker that closed the connection.
+            is_retried_here: Whether this node retries the request until it is complete.
         """
         self.crash_detector.record_disconnect(request_id, fingerprint, worker, is_retried_here)
 
     def record_success(self, fingerprint: str) -> None:
-        """A worker answered a request well."""
+        """Record that a worker answered a request successfully."""
         self.registry.record_success(fingerprint)
 
     def record_abandoned(self, fingerprint: str) -> None:
-        """This node stopped running a request that is not whole: it may go on elsewhere."""
+        """Record that this node stopped running an incomplete request; other nodes may run it."""
         self.registry.record_abandoned(fingerprint)
 
     def quarantine_state(self, fingerprint: str) -> QuarantineState | None:
-        """Why a request must not be sent to a worker; ``None`` if it may be."""
+        """Return the quarantine state of a request; ``None`` if it may be sent to workers."""
         return self.registry.quarantine_state(fingerprint)
 
     async def wait_until_lifted(self, fingerprint: str) -> None:
-        """Wait until a request may be sent to workers."""
+        """Wait until a request is not quarantined."""
         await self.registry.wait_until_lifted(fingerprint)
 
 
-def quarantine_problem(verdict: QuarantineState, fingerprint: str, request_id: str) -> Problem:
-    """Return what a caller is told whose try has been sent to no worker."""
+def quarantine_problem(state: QuarantineState, fingerprint: str, request_id: str) -> Problem:
+    """Return the problem for an attempt that was not sent to a worker because of a quarantine."""
     detail = (
-        f"{verdict.num_crashes} workers have ended under the request of fingerprint {fingerprint}"
-    )
-    return Problem(
-        ResultCode.REQUEST_QUARANTINED, detail, request_id, round(verdict.remaining_s, 1)
+        f"{state.num_crashes} workers have crashed under the request of fingerprint {fingerprint}"
     )
+    return Problem(ResultCode.REQUEST_QUARANTINED, detail, request_id, round(state.remaining_s, 1))
