--- a/src/hollowrack/forwarding/__init__.py
+++ b/src/hollowrack/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Transparent forwarding of requests to workers by host and path."""
+"""Reverse proxy that routes requests to workers by host and path."""
--- a/src/hollowrack/forwarding/back_end.py
+++ b/src/hollowrack/forwarding/back_end.py
@@ -1,4 +1,4 @@
-"""How requests reach a worker: typed calls, answers and failures, free of wire names."""
+"""Interface of the client that sends requests to workers, independent of the wire protocol."""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
@@ -12,16 +12,17 @@
 
 @dataclass(frozen=True)
 class BackEndCall:
-    """A request as it goes to a worker.
+    """A request as it is sent to a worker.
 
     Attributes:
-        request_id: Its identifier.
+        request_id: Unique identifier, the same for all attempts.
         method: HTTP method.
         target: Path and query, exactly as the caller sent them.
-        headers: The caller's headers without those of one connection.
-        body: The body.
-        priority: Rank at the worker, 0 first; ``None`` leaves the worker's default.
-        tenant: Name of the tenant it is for; ``None`` if it is for none.
+        headers: The caller's headers without hop-by-hop headers.
+        body: Complete request body.
+        priority: Scheduling priority at the worker, 0 is the highest; ``None`` for the worker's
+            default.
+        tenant: Name of the tenant that is charged; ``None`` if there is none.
     """
 
     request_id: str
@@ -42,7 +43,7 @@
 
 
 class NotRunError(Exception):
-    """A worker certainly did not run the request."""
+    """Raised if a worker certainly did not run the request."""
 
     def __init__(self, reason: NotRunReason) -> None:
         super().__init__(reason.value)
@@ -50,16 +51,16 @@
 
 
 class BrokenAnswerError(Exception):
-    """The request was sent and no whole, matching answer came: it may have run."""
+    """Raised if no complete, matching answer was received: the request may have run."""
 
 
 @dataclass(frozen=True)
 class LoadReport:
-    """Load that a worker told with an answer.
+    """Load that a worker reported along with an answer.
 
     Attributes:
-        num_running: Requests it works on, of all nodes.
-        num_waiting: Requests that wait inside it.
+        num_running: Requests of all nodes that it is processing.
+        num_waiting: Requests of all nodes in its queue.
     """
 
     num_running: int
@@ -67,14 +68,14 @@
 
 
 class OpenAnswer(Protocol):
-    """An answer whose head has arrived.
+    """An answer whose head has been received and whose body is still to be read.
 
     Attributes:
         status: HTTP status.
-        headers: The worker's headers without those of one connection.
+        headers: The worker's headers without hop-by-hop headers.
         signature: The worker's signature of the answer; ``None`` if it has none.
-        weight_version: Weight version at the beginning of the body; ``None`` if not told.
-        load_report: The worker's load when it answered; ``None`` if not told.
+        weight_version: Weight version at the start of the body; ``None`` if not reported.
+        load_report: The worker's load when it answered; ``None`` if not reported.
     """
 
     status: int
@@ -84,17 +85,21 @@
     load_report: LoadReport | None
 
     async def read(self) -> bytes:
-        """Read the whole body.
+        """Read the complete body.
 
         Raises:
-            BrokenAnswerError: If it ends early.
+            BrokenAnswerError: If the body is truncated.
         """
 
     def chunks(self) -> AsyncIterator[bytes]:
-        """Iterate over the body as it arrives; raises ``BrokenAnswerError`` if it ends early."""
+        """Iterate over the body as it arrives.
+
+        Raises:
+            BrokenAnswerError: If the body is truncated.
+        """
 
     def abort(self) -> None:
-        """Drop the answer and its connection, unless it was read whole."""
+        """Close the answer's connection unless the body was read completely."""
 
 
 class BackEndClient(Protocol):
@@ -108,23 +113,26 @@
         after_event: int | None = None,
         is_repeatable: bool = True,
     ) -> OpenAnswer:
-        """Send a request and return once the head of the answer is there.
+        """Send a request and return once the head of the answer has been received.
 
         Args:
-            worker: The one incarnation that may run it.
+            worker: The incarnation to send it to; no other incarnation runs it.
             call: The request.
-            time_left_s: How long the caller still waits, in seconds.
-            after_event: Continue a stream behind this event.
-            is_repeatable: Whether a kept connection may be used, which may close underneath.
+            time_left_s: Time until the caller's deadline, in seconds.
+            after_event: Number of the event after which a stream is resumed; ``None`` to start at
+                the beginning.
+            is_repeatable: Whether the request may run twice; if so, a pooled connection is allowed,
+                which the worker may close at any time.
 
         Raises:
-            NotRunError: The worker certainly did not run the request.
-            BrokenAnswerError: It may have run.
+            NotRunError: If the worker certainly did not run the request.
+            BrokenAnswerError: If the request may have run.
         """
 
     async def has_ended(self, worker: Worker) -> bool:
-        """Whether a life of a worker is certainly over.
+        """Whether an incarnation of a worker has certainly ended.
 
-        ``True`` if its machine says that nothing listens there, or if a later life answers;
-        ``False`` if it listens itself, or if nothing can be told.
+        Returns:
+            ``True`` if the connection is refused or a later incarnation answers; ``False`` if the
+            incarnation itself answers or its state cannot be determined.
         """
--- a/src/hollowrack/forwarding/route_table.py
+++ b/src/hollowrack/forwarding/route_table.py
@@ -1,4 +1,4 @@
-"""Looks up the route of a request: the longest prefix among the routes of its host."""
+"""Route table: finds the route of a request by its host and the longest matching prefix."""
 
 import asyncio
 from collections import Counter, defaultdict
@@ -21,10 +21,11 @@
 
 
 class RouteTable:
-    """The routes in force on this node; the version only rises.
+    """Holds the current routing configuration, whose version increases monotonically.
 
     Args:
-        age_s: Returns how long ago the store confirmed the version in force, in seconds; for logs.
+        age_s: Returns the time since the store confirmed the current version, in seconds; only used
+            in log lines. ``None`` if there is no store.
     """
 
     def __init__(self, age_s: Callable[[], float] | None = None) -> None:
@@ -38,11 +39,11 @@
 
     @property
     def version(self) -> int | None:
-        """Version in force; ``None`` before the first."""
+        """Current version; ``None`` before the first configuration."""
         return None if self._configuration is None else self._configuration.version
 
     def describe(self) -> str:
-        """Version in force and its age, for a log line that tells what a decision rests on."""
+        """Describe the current version and its age for log lines."""
         if self.version is None:
             return "no configuration"
         if self._age_s is None:
@@ -51,29 +52,29 @@
 
     @property
     def limits(self) -> CallerLimits:
-        """Bounds on callers in force."""
+        """Current limits on callers."""
         return CallerLimits() if self._configuration is None else self._configuration.limits
 
     @property
     def tenants(self) -> TenantDirectory:
-        """Tenants in force; they are of the same version as the routes."""
+        """Tenants of the current configuration."""
         return TenantDirectory() if self._configuration is None else self._configuration.tenants
 
     def service(self, name: str) -> Service | None:
-        """Return a service of the configuration in force."""
+        """Return a service of the current configuration; ``None`` if it is unknown."""
         return None if self._configuration is None else self._configuration.services.get(name)
 
     def holds_several_models(self, service_name: str) -> bool:
-        """Whether trainers of several models compete for a service's workers."""
+        """Whether the workers of a service are shared by several models."""
         service = self.service(service_name)
         return service is not None and len(service.models) > 1
 
     def services(self) -> tuple[Service, ...]:
-        """Return all services of the configuration in force."""
+        """Return all services of the current configuration."""
         return () if self._configuration is None else tuple(self._configuration.services.values())
 
     def apply(self, configuration: RoutingConfiguration) -> bool:
-        """Put a configuration in force unless it is older; returns whether it is in force now."""
+        """Apply a configuration if it is newer than the current one; return whether it was."""
         current = self.version
         if current is not None and configuration.version <= current:
             if configuration.version < current:
@@ -100,29 +101,29 @@
         return True
 
     def lookup(self, host: str, path: str) -> Route | None:
-        """Return the route of a request, or ``None`` if there is none."""
+        """Return the route of a request; ``None`` if there is none."""
         for route in self._routes_of(host):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def is_at_least(self, version: int) -> bool:
-        """Whether a configuration of at least this version is in force."""
+        """Whether the current configuration has at least this version."""
         return self.version is not None and self.version >= version
 
     async def lookup_since(self, host: str, path: str, version: int) -> Route | None:
-        """Return the route of a request that was accepted under a version.
+        """Return the route of a request that another node accepted under a version.
 
-        Other nodes may know newer configurations than this one. A route that is absent from an
-        older one may have been added since, so absence counts from that version on only.
+        Waits until this node has a configuration of at least that version if the route is not found
+        in an older one, because it may have been added in between.
 
         Args:
-            host: The host.
-            path: The path.
-            version: The version under which the route was seen; 0 if that is not known.
+            host: Host of the request.
+            path: Path of the request.
+            version: Version under which the route existed; 0 if unknown.
 
         Returns:
-            The route; ``None`` if it has ended.
+            The route; ``None`` if it has been removed.
         """
         while True:
             route = self.lookup(host, path)
@@ -139,11 +140,11 @@
             await self._changed.wait()
 
     def shares_workers(self, route: Route) -> bool:
-        """Whether other routes with plain answers lead to the same workers."""
+        """Whether a service of the route also serves other routes with plain answers."""
         return any(self._num_plain_routes[target.service] > 1 for target in route.targets)
 
     def has_public_jobs(self, host: str) -> bool:
-        """Whether jobs may be submitted to a host without a key."""
+        """Whether jobs may be submitted to a host without an API key."""
         return any(
             route.is_public and route.kind is RouteKind.JOB for route in self._routes_of(host)
         )
@@ -152,20 +153,19 @@
         return self._by_host.get(host.partition(":")[0].lower(), [])
 
     def worker_priority(self, priority: int, service: str) -> int | None:
-        """Return the priority that workers of a service should be told.
+        """Return the priority to send to workers of a service along with a request.
 
         Args:
             priority: Priority of the request's route.
-            service: The service.
+            service: Name of the service.
 
         Returns:
-            The priority; ``None`` if all routes of the service have the same, so that the workers'
-            default ranks them as well.
+            The priority; ``None`` if all routes of the service have the same one.
         """
         return priority if service in self._services_with_ranks else None
 
     def choose_service(self, route: Route) -> str:
-        """Choose a route's service by weight: smooth weighted round robin."""
+        """Choose a service of a route by smooth weighted round robin."""
         if len(route.targets) == 1:
             return route.targets[0].service
         total = sum(target.weight for target in route.targets)
@@ -182,7 +182,7 @@
 
 
 def _services_with_ranks(routes: Iterable[Route]) -> frozenset[str]:
-    """The services whose routes have different priorities."""
+    """Return the services whose routes differ in priority."""
     priorities: defaultdict[str, set[int]] = defaultdict(set)
     for route in routes:
         for target in route.targets:
--- a/src/hollowrack/forwarding/run_places.py
+++ b/src/hollowrack/forwarding/run_places.py
@@ -1,4 +1,4 @@
-"""Where one run may go next after workers broke it off before they made anything of it."""
+"""Retry policy of a run: at which workers and when it may be tried again after failures."""
 
 import random
 from collections.abc import Callable
@@ -7,27 +7,26 @@
 from hollowrack.clock import now_s
 from hollowrack.forwarding.types import Worker, WorkerLife
 
-# A connection that broke for a moment costs a run no more than this, in seconds.
 FIRST_PAUSE_S = 0.05
-# A run that every worker breaks off is sent again every two seconds at most; a caller whose workers
-# are sound again waits no longer than that, and an item is never long at no worker.
+# Also bounds the delay after all workers have recovered.
 MAX_PAUSE_S = 2.0
-# A worker that has not broken the run off is no worse for what others did, in seconds.
+# Upper bound before a retry at a worker that has not failed the run yet.
 MAX_PAUSE_BEFORE_OTHERS_S = 0.3
 
 
 class RunPlaces:
-    """Paces one run: pauses grow while no worker makes an event of it.
+    """Decides at which workers and when a run may be retried.
 
-    A worker that has not broken the run off may have it soon, until so many different ones have:
-    then the run is likely to be the cause.
+    The backoff grows while no worker produces an event. A worker that has not failed the run may be
+    tried sooner, unless so many different workers have failed it that the run itself is the likely
+    cause.
 
     Args:
-        max_suspects: How many workers must have broken the run off for that.
-        max_workers: Most workers that the run may begin at, without those that are gone; ``None``
-            for any number.
-        is_known: Whether a life of a worker is the one that is there.
-        rng: Source of the jitter.
+        max_suspects: Number of failed workers from which on the backoff applies to all workers.
+        max_workers: Maximum number of current incarnations that the run may start at; ``None`` for
+            no limit.
+        is_known: Returns whether an incarnation is the current one of its worker.
+        rng: Random number generator for the jitter of the backoff.
     """
 
     def __init__(
@@ -41,59 +40,61 @@
         self._max_workers = max_workers
         self._is_known = is_known
         self._backoff = Backoff(FIRST_PAUSE_S, MAX_PAUSE_S, rng)
-        self._began_at: set[WorkerLife] = set()
-        self._broke_off: set[WorkerLife] = set()
-        self._any_from_s = -float("inf")
-        self._others_from_s = -float("inf")
+        self._started_at: set[WorkerLife] = set()
+        self._failed_at: set[WorkerLife] = set()
+        self._retry_any_from_s = -float("inf")
+        self._retry_others_from_s = -float("inf")
 
     @property
     def are_restricted(self) -> bool:
-        """Whether there is a worker at which the run may not begin, or not yet."""
-        if self._broke_off:
+        """Whether there may be workers at which the run may not start now."""
+        if self._failed_at:
             return True
-        return self._max_workers is not None and len(self._began_there()) >= self._max_workers
+        return (
+            self._max_workers is not None and len(self._current_started_at()) >= self._max_workers
+        )
 
     def note_begun(self, worker: Worker) -> None:
-        """The run may have begun at a worker."""
-        self._began_at.add(worker.life)
+        """Record that the run may have started at a worker."""
+        self._started_at.add(worker.life)
 
     def note_unreachable(self, worker: Worker) -> None:
-        """A worker is gone, or cut off: nothing of the run is left there."""
-        self._began_at.discard(worker.life)
+        """Record that a worker cannot be reached: the run is not in progress there any more."""
+        self._started_at.discard(worker.life)
 
     def note_progress(self) -> None:
-        """A worker has made an event: earlier breaks say nothing about the run."""
-        if self._broke_off:
+        """Reset the backoff because a worker has produced an event."""
+        if self._failed_at:
             self._backoff.reset()
-            self._broke_off.clear()
+            self._failed_at.clear()
 
     def note_fruitless(self, worker: Worker) -> None:
-        """A worker broke the run off, or fell silent, before it made an event."""
-        self._broke_off.add(worker.life)
+        """Record that a worker failed or timed out before it produced an event."""
+        self._failed_at.add(worker.life)
         pause_s = self._backoff.next_pause_s()
-        self._any_from_s = now_s() + pause_s
-        self._others_from_s = now_s() + min(pause_s, MAX_PAUSE_BEFORE_OTHERS_S)
+        self._retry_any_from_s = now_s() + pause_s
+        self._retry_others_from_s = now_s() + min(pause_s, MAX_PAUSE_BEFORE_OTHERS_S)
 
     def may_begin(self, worker: Worker) -> bool:
-        """Whether the run may begin at a worker now."""
-        if not self._has_workers_left(worker):
+        """Whether the run may start at a worker now."""
+        if not self._is_within_max_workers(worker):
             return False
-        is_other = worker.life not in self._broke_off
-        if is_other and len(self._broke_off) < self._max_suspects:
-            return now_s() >= self._others_from_s
-        return now_s() >= self._any_from_s
+        has_not_failed = worker.life not in self._failed_at
+        if has_not_failed and len(self._failed_at) < self._max_suspects:
+            return now_s() >= self._retry_others_from_s
+        return now_s() >= self._retry_any_from_s
 
     def may_leave(self, worker: Worker) -> bool:
-        """Whether the run may go on at another worker than this one."""
+        """Whether the run may leave a worker and continue at another one."""
         if self._max_workers is None:
             return True
-        others = self._began_there() - {worker.life}
+        others = self._current_started_at() - {worker.life}
         return bool(others) or self._max_workers > 1
 
-    def _has_workers_left(self, worker: Worker) -> bool:
-        if self._max_workers is None or worker.life in self._began_at:
+    def _is_within_max_workers(self, worker: Worker) -> bool:
+        if self._max_workers is None or worker.life in self._started_at:
             return True
-        return len(self._began_there()) < self._max_workers
+        return len(self._current_started_at()) < self._max_workers
 
-    def _began_there(self) -> set[WorkerLife]:
-        return {life for life in self._began_at if self._is_known(life)}
+    def _current_started_at(self) -> set[WorkerLife]:
+        return {incarnation for incarnation in self._started_at if self._is_known(incarnation)}
--- a/src/hollowrack/forwarding/run_waits.py
+++ b/src/hollowrack/forwarding/run_waits.py
@@ -1,4 +1,4 @@
-"""The waits of one run in their order: for a place, and at each worker for the first event."""
+"""Record of the waits of one run: for a slot, and at each worker for the first event."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 from hollowrack.forwarding.dispatch_statistics import DispatchStatistics, WaitPlace
 from hollowrack.forwarding.types import WorkerLife
 
-# Keeps the log line of a run that is refused again and again short.
+# Bounds the length of the log line of a run that is refused repeatedly.
 MAX_ATTEMPTS_TOLD = 6
 
 
@@ -17,36 +17,36 @@
     """One attempt of a run at a worker.
 
     Attributes:
-        life: The worker.
-        queued_s: How long its place was waited for, in seconds.
-        sent_s: When the attempt began, on the loop's clock.
-        first_event_s: How long the first event took, in seconds; ``None`` if none came.
-        refusal: Why the worker did not run it; ``None`` if it may have.
+        incarnation: Incarnation that the attempt was sent to.
+        queued_s: Time spent waiting for the slot, in seconds.
+        sent_s: Start of the attempt, on the loop's clock.
+        first_event_s: Latency of the first event, in seconds; ``None`` if none was received.
+        refusal: Why the worker did not run it; ``None`` if it may have run.
     """
 
-    life: WorkerLife
+    incarnation: WorkerLife
     queued_s: float
     sent_s: float
     first_event_s: float | None = None
     refusal: NotRunReason | None = None
 
     def describe(self) -> str:
-        """Return its waits for a log line."""
+        """Describe the waits of the attempt for a log line."""
         if self.refusal is not None:
             outcome = f"not run ({self.refusal.value})"
         elif self.first_event_s is None:
             outcome = "no event"
         else:
             outcome = f"first event after {self.first_event_s:.2f} s"
-        return f"queue {self.queued_s:.2f} s, worker {self.life} {outcome}"
+        return f"queue {self.queued_s:.2f} s, worker {self.incarnation} {outcome}"
 
 
 class RunWaits:
-    """Follows one run.
+    """Records the waits of one run and adds them to the statistics of all runs.
 
     Args:
-        service: The service that runs it.
-        statistics: Counts the waits of all runs.
+        service: Name of the service that runs it.
+        statistics: Statistics of all runs of this node.
     """
 
     def __init__(self, service: str, statistics: DispatchStatistics) -> None:
@@ -59,37 +59,37 @@
 
     @property
     def is_at_worker(self) -> bool:
-        """Whether an attempt has a place at a worker now."""
+        """Whether an attempt currently has a slot at a worker."""
         return self._is_at_worker
 
-    def note_begin(self, life: WorkerLife, queued_s: float) -> None:
-        """An attempt begins at a worker, whose place was waited for so many seconds."""
-        self._attempts.append(_Attempt(life, queued_s, now_s()))
+    def note_begin(self, incarnation: WorkerLife, queued_s: float) -> None:
+        """Record the start of an attempt after ``queued_s`` seconds in the queue."""
+        self._attempts.append(_Attempt(incarnation, queued_s, now_s()))
         self._num_attempts += 1
         self._is_at_worker = True
         self._statistics.num_running[self._service] += 1
 
     def note_event(self) -> None:
-        """The worker has sent an event."""
+        """Record an event of the current attempt."""
         attempt = self._attempts[-1]
         if attempt.first_event_s is None:
             attempt.first_event_s = now_s() - attempt.sent_s
             self._statistics.note_wait(WaitPlace.FIRST_EVENT, attempt.first_event_s)
 
     def note_not_run(self, reason: NotRunReason) -> None:
-        """The worker certainly did not run the attempt."""
+        """Record that the worker certainly did not run the current attempt."""
         self._attempts[-1].refusal = reason
         self._num_refusals += 1
         self._statistics.num_refusals[(self._service, reason)] += 1
 
     def note_end(self) -> None:
-        """The attempt has left its worker."""
+        """Record the end of the current attempt."""
         self._is_at_worker = False
         self._statistics.num_running[self._service] -= 1
 
     def describe(self) -> str:
-        """Return the waits in order for a log line; of many attempts only the last."""
-        num_left_out = self._num_attempts - len(self._attempts)
-        earlier = [f"{num_left_out} attempts before"] if num_left_out else []
-        told = [attempt.describe() for attempt in self._attempts]
-        return f"{self._num_refusals} refusals; " + "; ".join([*earlier, *told])
+        """Describe the waits of the latest attempts, in order, for a log line."""
+        num_omitted = self._num_attempts - len(self._attempts)
+        earlier = [f"{num_omitted} attempts before"] if num_omitted else []
+        descriptions = [attempt.describe() for attempt in self._attempts]
+        return f"{self._num_refusals} refusals; " + "; ".join([*earlier, *descriptions])
--- a/src/hollowrack/forwarding/slot_limits.py
+++ b/src/hollowrack/forwarding/slot_limits.py
@@ -1,4 +1,4 @@
-"""How many requests this node may have in flight at a worker."""
+"""Limits on this node's requests in flight at each worker."""
 
 from typing import Protocol
 
@@ -6,21 +6,21 @@
 
 
 class SlotLimits(Protocol):
-    """Limits that a dispatch queue keeps to."""
+    """Limits that a dispatch queue observes."""
 
     def limit(self, worker: Worker) -> int:
         """Return how many requests this node may have in flight at a worker."""
 
     def note_waiting(self) -> None:
-        """Work has come that has no slot."""
+        """Report that work is waiting for a slot."""
 
 
 class WholeCapacity:
-    """Every slot of every worker may be used."""
+    """Allows this node to use all slots of every worker."""
 
     def limit(self, worker: Worker) -> int:
-        """Return the worker's capacity; one that tells none takes one request."""
+        """Return the worker's capacity, or 1 if it reports none."""
         return max(1, worker.capacity)
 
     def note_waiting(self) -> None:
-        """Nobody else could give up a slot."""
+        """Do nothing: no other node can release a slot."""
--- a/src/hollowrack/forwarding/types.py
+++ b/src/hollowrack/forwarding/types.py
@@ -1,4 +1,4 @@
-"""Routes, services, workers and limits, as decisions see them."""
+"""Data types for routes, services, workers and limits."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 
 class RouteKind(Enum):
-    """What a route's requests are."""
+    """How a route's requests may be handled; the values appear in the configuration."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """A service that takes a share of a route's requests, by weight."""
+    """A service that receives a weighted share of a route's requests."""
 
     service: str
     weight: float
@@ -27,24 +27,25 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Where requests of one host and path prefix go, and within which limits.
+    """Targets and limits for the requests of one host and path prefix.
 
     Attributes:
-        name: Its name.
-        host: Host it belongs to.
-        prefix: Beginning of the paths, with a slash at both ends.
-        kind: What its requests are.
-        targets: The services that serve it.
-        max_attempts: Most workers one request may be run on.
-        timeout_s: Longest time a request is held, in seconds; ``None`` for no limit.
-        target_latency_s: Time within which an answer is worth most, in seconds.
-        priority: Rank, 0 first.
-        is_resumable: Whether a stream may be continued at another worker.
-        queue_ttl_s: How long after its job's acceptance an item may be given up, in seconds.
-        result_deadline_s: Time after a job was sent in which its results are worth most, in
+        name: Unique name; also the key of latency statistics.
+        host: Host name without port, in lower case.
+        prefix: Path prefix that starts and ends with a slash.
+        kind: How its requests may be handled.
+        targets: Services that share its requests.
+        max_attempts: Maximum number of workers that may run one request.
+        timeout_s: Request timeout in seconds; ``None`` for no limit.
+        target_latency_s: Latency objective of an answer, in seconds.
+        priority: Scheduling priority, 0 is the highest.
+        is_resumable: Whether a stream may be resumed at another worker.
+        queue_ttl_s: Time after which an unfinished item is given up, in seconds; ``None`` for
+            never.
+        result_deadline_s: Time after the submission of a job in which its results are due, in
             seconds; ``None`` if none is stated.
         needs_single_version: Whether all tokens of a sample must come from one weight version.
-        is_public: Whether its requests need no key.
+        is_public: Whether its requests need no API key.
     """
 
     name: str
@@ -64,20 +65,20 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be run more than once."""
         return self.kind is RouteKind.SAFE or self.is_resumable
 
 
 @dataclass(frozen=True)
 class ScalingLimits:
-    """How many workers of a service may be ordered, and at what price.
+    """Limits and prices for the autoscaling of a service.
 
     Attributes:
-        min_workers: Fewest workers in each zone, of both kinds together.
-        max_workers: Most workers in each zone, of both kinds together.
-        boot_s: How long a new worker needs until it serves, in seconds.
-        spot_price: Price of a worker that may be taken away, as a share of an ordinary one's.
-        zone_prices: Price of a second of an ordinary worker by zone.
+        min_workers: Minimum number of workers per zone, on-demand and spot together.
+        max_workers: Maximum number of workers per zone, on-demand and spot together.
+        boot_s: Startup time of a new worker, in seconds.
+        spot_price: Price of a spot (preemptible) worker as a fraction of the on-demand price.
+        zone_prices: Price of an on-demand worker per second, by zone.
     """
 
     min_workers: int
@@ -89,13 +90,13 @@
 
 @dataclass(frozen=True)
 class Service:
-    """A pool of like workers.
+    """A pool of interchangeable workers.
 
     Attributes:
-        name: Its name.
-        max_connections: Connections that one worker accepts from all callers together.
-        models: Models its workers hold.
-        scaling: Within which limits its workers may be ordered; ``None`` if they may not.
+        name: Unique name.
+        max_connections: Connections that one worker accepts from all clients together.
+        models: Models loaded by its workers.
+        scaling: Autoscaling limits; ``None`` if the service is not autoscaled.
     """
 
     name: str
@@ -106,7 +107,7 @@
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """Bounds on what callers send and how long they idle."""
+    """Limits on the size of callers' requests and on idle connections."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 33_554_432
@@ -116,7 +117,7 @@
 
 @dataclass(frozen=True)
 class RoutingConfiguration:
-    """One version of the routes; versions only rise."""
+    """One version of the routing configuration; versions increase monotonically."""
 
     version: int
     routes: tuple[Route, ...]
@@ -127,11 +128,13 @@
 
 @dataclass(frozen=True, order=True)
 class WorkerLife:
-    """One incarnation of a back end: an identity may return with nothing of what it held.
+    """Identifies one incarnation of a worker: the time between one start and its end.
+
+    A worker that restarts keeps its identity, but has lost the state of earlier incarnations.
 
     Attributes:
-        worker_id: Identity of the worker.
-        started_ms: When this incarnation started, in milliseconds since 1970; 0 if not told.
+        worker_id: Identity of the worker, shared by all of its incarnations.
+        started_ms: Start of this incarnation as Unix time in milliseconds; 0 if unknown.
     """
 
     worker_id: str
@@ -143,17 +146,17 @@
 
 @dataclass(frozen=True)
 class Worker:
-    """What is known of one incarnation of a back end.
+    """Registry entry of one incarnation of a worker.
 
     Attributes:
-        id: Identity of the worker; a later incarnation may have the same.
-        service: Service it belongs to.
+        id: Identity of the worker, shared by all of its incarnations.
+        service: Name of the service it belongs to.
         address: ``IP:PORT``.
-        zone: Its zone.
-        capacity: Requests it works on at once.
-        is_leaving: Whether it takes no new work.
-        model_versions: Weight version of each model it holds.
-        started_ms: When this incarnation started, in milliseconds since 1970; 0 if not told.
+        zone: Availability zone.
+        capacity: Number of slots: requests processed concurrently.
+        is_leaving: Whether it is draining and accepts no new requests.
+        model_versions: Weight version by loaded model.
+        started_ms: Start of this incarnation as Unix time in milliseconds; 0 if unknown.
     """
 
     id: str
@@ -165,12 +168,12 @@
     model_versions: Mapping[str, int] = field(default_factory=dict)
     started_ms: int = 0
 
-    # Made once: each choice of a worker asks it of all candidates.
+    # Cached because each choice of a worker reads it for all candidates.
     @cached_property
     def life(self) -> WorkerLife:
-        """What everything that remembers something of a worker remembers it by."""
+        """Key under which state about this incarnation is stored."""
         return WorkerLife(self.id, self.started_ms)
 
     def holds(self, model: str, min_version: int) -> bool:
-        """Whether its weights of a model are at least of a version; true of an empty model."""
+        """Whether its weights of a model have at least a version; true for an empty model."""
         return not model or self.model_versions.get(model, 0) >= min_version
--- a/src/hollowrack/forwarding/worker_load.py
+++ b/src/hollowrack/forwarding/worker_load.py
@@ -1,7 +1,7 @@
-"""How soon each worker should answer, by what this node has seen of it, and a choice by that.
+"""Load balancer for plain requests: expected latencies of workers and the choice by them.
 
-For this load: workers of one service that differ in speed, or turn slow for seconds, and that many
-nodes use at once without seeing each other's requests.
+Designed for workers of one service that differ in speed or become slow for some seconds, and that
+are shared by many nodes which do not see each other's requests.
 """
 
 import math
@@ -14,96 +14,94 @@
 from hollowrack.forwarding.back_end import LoadReport
 from hollowrack.forwarding.types import Worker, WorkerLife
 
-# What is known of a worker's speed fades within this time, in seconds: workers turn slow for
-# seconds, and one that is avoided shows in no other way that it is fast again.
+# Time constant of the exponential decay of slowness and penalties. A worker that is avoided gets no
+# requests that could show its recovery, so old observations have to expire.
 FADE_S = 6.0
-# Share of the newest answer in a worker's slowness. Speeds that change with each answer even out.
+# Weight of the latest answer in a worker's slowness.
 ANSWER_SHARE = 0.3
-# Share of a request that is late: it tells more, as nearly all answers come sooner.
+# Weight of a late request, which is stronger evidence than a single answer.
 LATE_SHARE = 0.7
-# Share of the newest answer in the usual time of a route, which changes rarely; the first answers
-# share evenly.
+# Weight of the latest answer in the typical latency of a route; the first answers weigh equally.
 USUAL_TIME_SHARE = 0.05
-# Differences below this factor are chance, and a preference for them would fill single workers.
+# Smaller factors are treated as noise.
 MIN_FACTOR = 1.3
-# One extreme answer, a request that was suspended or a cached one, counts no more than this factor.
+# Bounds the effect of a single outlier, such as a suspended process or a cached answer.
 MAX_FACTOR = 10.0
-# A worker that has just failed is avoided as if it were this many times slower. That is forgotten
-# within 8 s, as one that has failed for good is taken from the list of workers by then.
+# Slowness assumed of a worker that has just failed.
 FAILURE_PENALTY = 2.5
-# Load that a worker tells holds for about as long as a plain request lasts, in seconds.
+# Time constant of the decay of load reports, about the latency of a plain request.
 REPORT_FADE_S = 0.1
-# An answer from another zone takes a few milliseconds longer and crosses metered links.
+# Cost of a worker in another zone: higher latency and metered traffic.
 REMOTE_FACTOR = 1.25
-# What remains of faded knowledge must not decide: expected times within this factor are equal.
+# Expected latencies within this factor count as equal.
 NEARLY_EQUAL = 1.05
-# Routes whose usual time is remembered: those in use lately, out of possibly thousands.
+# Routes whose typical latency is kept; the least recently used are evicted.
 MAX_ROUTES = 64
-# An answer from a cache may take no time at all; in seconds.
+# Lower bound of latencies, since their logarithm is taken.
 MIN_TIME_S = 0.001
 
 
-class _FadingFactor:
-    """A factor that fades to 1 while nothing new is taken in."""
+class _DecayingFactor:
+    """A factor that decays exponentially to 1 between updates."""
 
     def __init__(self) -> None:
         self._log = 0.0
-        self._noted_s = -math.inf
+        self._updated_s = -math.inf
 
     @property
     def value(self) -> float:
-        """The factor now; 1 if it is hardly different."""
-        log_factor = self._faded()
+        """The current factor; exactly 1 if it differs from 1 by less than ``MIN_FACTOR``."""
+        log_factor = self._decayed_log()
         return math.exp(log_factor) if abs(log_factor) >= math.log(MIN_FACTOR) else 1.0
 
-    def take_in(self, factor: float, share: float) -> None:
-        """Move towards a new factor by a share of the way."""
+    def update(self, factor: float, share: float) -> None:
+        """Update the moving average by a new factor with a weight from 0 to 1."""
         bounded = max(1.0 / MAX_FACTOR, min(MAX_FACTOR, factor))
-        known = self._faded()
-        self._log = known + share * (math.log(bounded) - known)
-        self._noted_s = now_s()
+        current = self._decayed_log()
+        self._log = current + share * (math.log(bounded) - current)
+        self._updated_s = now_s()
 
-    def _faded(self) -> float:
-        return self._log * math.exp(-(now_s() - self._noted_s) / FADE_S)
+    def _decayed_log(self) -> float:
+        return self._log * math.exp(-(now_s() - self._updated_s) / FADE_S)
 
 
 @dataclass
-class _Seen:
-    """What this node has seen of one worker.
+class _WorkerStats:
+    """This node's observations of one worker.
 
     Attributes:
-        slowness: Its times against the usual ones.
-        penalty: Keeps requests from it after failures.
-        num_of_others: Requests of other nodes there, by its latest report.
-        report_at_s: When that came.
+        slowness: Ratio of its latencies to the typical ones.
+        penalty: Additional factor after failures.
+        num_other_requests: Requests of other nodes there, from its latest load report.
+        report_received_s: When that report was received, on the loop's clock.
     """
 
-    slowness: _FadingFactor = field(default_factory=_FadingFactor)
-    penalty: _FadingFactor = field(default_factory=_FadingFactor)
-    num_of_others: int = 0
-    report_at_s: float = -math.inf
+    slowness: _DecayingFactor = field(default_factory=_DecayingFactor)
+    penalty: _DecayingFactor = field(default_factory=_DecayingFactor)
+    num_other_requests: int = 0
+    report_received_s: float = -math.inf
 
 
 @dataclass
-class _UsualTime:
-    """How long answers of one route take at all workers of a service, as a logarithm."""
+class _RouteLatency:
+    """Moving average of the logarithm of one route's latencies at all workers of a service."""
 
     log_s: float = 0.0
     num_answers: int = 0
 
-    def note(self, log_s: float) -> None:
+    def record(self, log_s: float) -> None:
         self.num_answers += 1
         share = max(USUAL_TIME_SHARE, 1.0 / self.num_answers)
         self.log_s += share * (log_s - self.log_s)
 
 
 class WorkerLoads:
-    """What one node knows of the speed and the load of workers.
+    """Tracks the speed and the load of workers and chooses among them.
 
     Args:
-        zone: This node's zone; near workers are preferred between equals.
-        rng: Source of all random choices.
-        num_in_flight: How many requests this node has at a worker.
+        zone: This node's zone, whose workers are preferred.
+        rng: Random number generator for the choices.
+        num_in_flight: Returns how many requests this node has in flight at a worker.
     """
 
     def __init__(
@@ -112,120 +110,123 @@
         self._zone = zone
         self._rng = rng
         self._num_in_flight = num_in_flight
-        self._seen: dict[WorkerLife, _Seen] = {}
-        self._usual_times: OrderedDict[tuple[str, str], _UsualTime] = OrderedDict()
+        self._stats: dict[WorkerLife, _WorkerStats] = {}
+        self._route_latencies: OrderedDict[tuple[str, str], _RouteLatency] = OrderedDict()
 
     @property
     def num_known(self) -> int:
-        """Of how many workers something is remembered."""
-        return len(self._seen)
+        """Number of incarnations whose state is kept."""
+        return len(self._stats)
 
     def forget(self, life: WorkerLife) -> None:
-        """A worker is gone."""
-        self._seen.pop(life, None)
+        """Remove the state of an incarnation that has ended."""
+        self._stats.pop(life, None)
 
     def note_answer(self, worker: Worker, route: str, seconds: float) -> None:
-        """A worker took this long for one unit of a route's work, in seconds.
+        """Record the latency of one unit of a route's work.
 
         Args:
-            worker: The worker.
-            route: The route's name; times are compared with others of the same work only.
-            seconds: How long it took.
+            worker: The worker that did the work.
+            route: Name of the route; latencies are compared within one route only.
+            seconds: Latency in seconds.
         """
         log_s = math.log(max(MIN_TIME_S, seconds))
         key = (worker.service, route)
-        usual = self._usual_times.setdefault(key, _UsualTime())
-        usual.note(log_s)
-        self._usual_times.move_to_end(key)
-        if len(self._usual_times) > MAX_ROUTES:
-            self._usual_times.popitem(last=False)
-        seen = self._of(worker)
-        seen.slowness.take_in(math.exp(log_s - usual.log_s), ANSWER_SHARE)
-        seen.penalty.take_in(1.0, ANSWER_SHARE)
+        route_latency = self._route_latencies.setdefault(key, _RouteLatency())
+        route_latency.record(log_s)
+        self._route_latencies.move_to_end(key)
+        if len(self._route_latencies) > MAX_ROUTES:
+            self._route_latencies.popitem(last=False)
+        stats = self._stats_of(worker)
+        stats.slowness.update(math.exp(log_s - route_latency.log_s), ANSWER_SHARE)
+        stats.penalty.update(1.0, ANSWER_SHARE)
 
     def note_late(self, worker: Worker, route: str, seconds: float) -> None:
-        """A worker has not answered after this long, in seconds, when nearly all others have."""
-        usual = self._usual_times.get((worker.service, route))
-        factor = MAX_FACTOR if usual is None else seconds / math.exp(usual.log_s)
-        self._of(worker).slowness.take_in(factor, LATE_SHARE)
+        """Record that a worker has not answered a request after so many seconds."""
+        route_latency = self._route_latencies.get((worker.service, route))
+        factor = MAX_FACTOR if route_latency is None else seconds / math.exp(route_latency.log_s)
+        self._stats_of(worker).slowness.update(factor, LATE_SHARE)
 
     def note_failure(self, worker: Worker) -> None:
-        """A worker broke an answer off, gave none or could not be reached."""
-        self._of(worker).penalty.take_in(FAILURE_PENALTY, 1.0)
+        """Record that a worker sent an incomplete answer, none, or could not be reached."""
+        self._stats_of(worker).penalty.update(FAILURE_PENALTY, 1.0)
 
     def note_report(self, worker: Worker, report: LoadReport) -> None:
-        """A worker told its load."""
-        seen = self._of(worker)
+        """Record the load that a worker reported."""
+        stats = self._stats_of(worker)
         num_all = report.num_running + report.num_waiting
-        seen.num_of_others = max(0, num_all - self._num_in_flight(worker))
-        seen.report_at_s = now_s()
+        stats.num_other_requests = max(0, num_all - self._num_in_flight(worker))
+        stats.report_received_s = now_s()
 
     def choose(self, workers: Sequence[Worker]) -> Worker | None:
-        """Choose a worker: the better of two drawn, each the likelier the sooner it should answer.
+        """Choose the better of two workers drawn with weights inverse to their expected latency.
 
-        Drawing keeps nodes that know the same from going to the same worker together. Workers of
-        other zones are drawn only once one of them should answer sooner than all near ones: each
-        costs a connection of its own, and its answers cross metered links.
+        The random draw keeps nodes with equal observations from choosing the same worker. Workers
+        of other zones are considered only if one of them is expected to answer sooner than all
+        local ones, since they need connections of their own and cause metered traffic.
         """
-        workers = self._near_unless_slower(workers)
+        workers = self._local_unless_slower(workers)
         if len(workers) <= 1:
             return workers[0] if workers else None
-        times = [self._relative_time(worker) for worker in workers]
-        first = self._draw(times, None)
-        second = self._draw(times, first)
-        is_better = times[second] * NEARLY_EQUAL < times[first]
+        latencies = [self._relative_latency(worker) for worker in workers]
+        first = self._draw(latencies, None)
+        second = self._draw(latencies, first)
+        is_better = latencies[second] * NEARLY_EQUAL < latencies[first]
         return workers[second if is_better else first]
 
-    def _near_unless_slower(self, workers: Sequence[Worker]) -> Sequence[Worker]:
-        near = [worker for worker in workers if worker.zone == self._zone]
-        if not near or len(near) == len(workers):
+    def _local_unless_slower(self, workers: Sequence[Worker]) -> Sequence[Worker]:
+        local = [worker for worker in workers if worker.zone == self._zone]
+        if not local or len(local) == len(workers):
             return workers
-        far = (worker for worker in workers if worker.zone != self._zone)
-        soonest_far = min(self._relative_time(worker) for worker in far)
-        soonest_near = min(self._relative_time(worker) for worker in near)
-        return near if soonest_near <= soonest_far else workers
+        remote = (worker for worker in workers if worker.zone != self._zone)
+        lowest_remote = min(self._relative_latency(worker) for worker in remote)
+        lowest_local = min(self._relative_latency(worker) for worker in local)
+        return local if lowest_local <= lowest_remote else workers
 
     def is_sooner(self, worker: Worker, other: Worker) -> bool:
-        """Whether a worker should answer clearly sooner than another one."""
-        return self._relative_time(worker) * NEARLY_EQUAL < self._relative_time(other)
+        """Whether a worker is expected to answer clearly sooner than another one."""
+        return self._relative_latency(worker) * NEARLY_EQUAL < self._relative_latency(other)
 
     def has_room(self, worker: Worker) -> bool:
-        """Whether a worker has a free slot, as far as known."""
-        return self._num_at(worker) < worker.capacity
+        """Whether a worker has a free slot, as far as this node knows."""
+        return self._num_requests(worker) < worker.capacity
 
     def expected_time_s(self, worker: Worker, route: str) -> float | None:
-        """How long a request that comes now should take, in seconds; ``None`` if nothing is known.
+        """Return the expected latency of a request sent now, including the wait for a slot.
 
-        That is its work and the wait for a slot behind what is in flight.
+        Returns:
+            The latency in seconds; ``None`` if no latency of the route is known.
         """
-        usual = self._usual_times.get((worker.service, route))
-        if usual is None:
+        route_latency = self._route_latencies.get((worker.service, route))
+        if route_latency is None:
             return None
-        num_turns = max(1.0, (self._num_at(worker) + 1) / max(1, worker.capacity))
-        seen = self._seen.get(worker.life)
-        slowness = 1.0 if seen is None else seen.slowness.value
-        return num_turns * math.exp(usual.log_s) * slowness
-
-    def _draw(self, times: Sequence[float], excluded: int | None) -> int:
-        weights = [0.0 if index == excluded else 1.0 / time_ for index, time_ in enumerate(times)]
-        return self._rng.choices(range(len(times)), weights)[0]
-
-    def _relative_time(self, worker: Worker) -> float:
-        """Expected time of an answer as a multiple of an idle worker's usual one."""
-        load = self._num_at(worker) / max(1, worker.capacity)
+        queueing_factor = max(1.0, (self._num_requests(worker) + 1) / max(1, worker.capacity))
+        stats = self._stats.get(worker.life)
+        slowness = 1.0 if stats is None else stats.slowness.value
+        return queueing_factor * math.exp(route_latency.log_s) * slowness
+
+    def _draw(self, latencies: Sequence[float], excluded: int | None) -> int:
+        weights = [
+            0.0 if index == excluded else 1.0 / latency for index, latency in enumerate(latencies)
+        ]
+        return self._rng.choices(range(len(latencies)), weights)[0]
+
+    def _relative_latency(self, worker: Worker) -> float:
+        """Expected latency as a multiple of the typical latency at an idle worker."""
+        load = self._num_requests(worker) / max(1, worker.capacity)
         distance = 1.0 if worker.zone == self._zone else REMOTE_FACTOR
-        seen = self._seen.get(worker.life)
-        avoidance = 1.0 if seen is None else seen.slowness.value * seen.penalty.value
+        stats = self._stats.get(worker.life)
+        avoidance = 1.0 if stats is None else stats.slowness.value * stats.penalty.value
         return (1.0 + load) * avoidance * distance
 
-    def _num_at(self, worker: Worker) -> float:
-        """Requests at a worker, of this node and, as far as known, of others."""
+    def _num_requests(self, worker: Worker) -> float:
+        """Number of requests at a worker: this node's and, by its load report, other nodes'."""
         num_own = self._num_in_flight(worker)
-        seen = self._seen.get(worker.life)
-        if seen is None:
+        stats = self._stats.get(worker.life)
+        if stats is None:
             return num_own
-        fading = math.exp(-(now_s() - seen.report_at_s) / REPORT_FADE_S)
-        return num_own + seen.num_of_others * fading
+        decay = math.exp(-(now_s() - stats.report_received_s) / REPORT_FADE_S)
+        return num_own + stats.num_other_requests * decay
 
-    def _of(self, worker: Worker) -> _Seen:
-        return self._seen.setdefault(worker.life, _Seen())
+    def _stats_of(self, worker: Worker) -> _WorkerStats:
+        return self._stats.setdefault(worker.life, _WorkerStats())
--- a/src/hollowrack/forwarding/worker_paces.py
+++ b/src/hollowrack/forwarding/worker_paces.py
@@ -1,7 +1,7 @@
-"""How fast workers generate, by what this node has seen of their streams, for placing runs.
+"""Statistics of the interval between events of workers' streams, used to place runs.
 
-Plain requests are chosen for by :mod:`hollowrack.forwarding.worker_load`: their times vary with the
-request, while events of one service come at the pace of their worker.
+The interval is a property of the worker. The latency of a plain request depends on the request as
+well and is tracked by :mod:`hollowrack.forwarding.worker_load`.
 """
 
 import math
@@ -13,114 +13,113 @@
 from hollowrack.clock import now_s
 from hollowrack.forwarding.types import Worker, WorkerLife
 
-# Events of the last seconds of a worker with a few runs, of which the median is taken now and then:
-# taking it at each event would cost more than it tells.
+# Intervals kept per worker, and the number of events between updates of their median.
 NUM_PACES_KEPT = 64
 NUM_PACES_BETWEEN_MEDIANS = 8
-# What is known of a worker's pace fades, in seconds, so that a slow one is tried again.
+# Time constant of the decay of recent slowness, so that a slow worker is tried again.
 PACE_FADE_S = 6.0
-# Differences below this factor are chance.
+# Smaller factors are treated as noise.
 MIN_SLOWNESS = 1.3
-# A run at such a worker is better off anywhere else.
+# Slowness from which on runs leave a worker.
 MUCH_SLOWER = 2.5
-# How fast a worker is by itself changes rarely: for placing runs it is remembered for longer.
+# Time constant of the decay of the slowness used to place runs.
 PLACING_FADE_S = 30.0
-# Lasting differences show in many events, so that smaller ones count than for lately.
+# Smaller factors are treated as noise when runs are placed.
 MIN_PLACING_SLOWNESS = 1.1
-# Bounds of what is divided: a pace of nought, and a worker that hardly moves, in seconds and times.
+# Lower bound of intervals that are divided by.
 MIN_PACE_S = 0.001
 MAX_SLOWNESS = 10.0
 
 
 @dataclass
-class _Pace:
-    """What was seen of one life of a worker.
+class _IntervalStats:
+    """Event intervals of one incarnation of a worker.
 
     Attributes:
-        paces_s: The latest times of one unit of work, in seconds.
-        num_noted: How many there were in all.
-        pace_s: Their median when it was last taken; ``None`` before.
-        noted_s: When the newest came, on the loop's clock.
+        intervals_s: The latest intervals, in seconds.
+        num_recorded: Number of all intervals so far.
+        median_s: Median when it was last updated, in seconds; ``None`` before the first update.
+        recorded_s: When the latest interval was recorded, on the loop's clock.
     """
 
-    paces_s: deque[float] = field(default_factory=lambda: deque(maxlen=NUM_PACES_KEPT))
-    num_noted: int = 0
-    pace_s: float | None = None
-    noted_s: float = 0.0
+    intervals_s: deque[float] = field(default_factory=lambda: deque(maxlen=NUM_PACES_KEPT))
+    num_recorded: int = 0
+    median_s: float | None = None
+    recorded_s: float = 0.0
 
 
 class WorkerPaces:
-    """Paces of all workers, as multiples of the best of their service.
+    """Tracks event intervals of workers relative to the fastest worker of their service.
 
     Args:
-        serving: Returns a service's workers that take new work.
+        serving: Returns a service's workers that accept new requests.
     """
 
     def __init__(self, serving: Callable[[str], list[Worker]]) -> None:
         self._serving = serving
-        self._paces: dict[WorkerLife, _Pace] = {}
-        self._best_paces_s: dict[str, float] = {}
+        self._intervals: dict[WorkerLife, _IntervalStats] = {}
+        self._best_intervals_s: dict[str, float] = {}
 
     def note(self, worker: Worker, seconds: float) -> None:
-        """A worker took this long for one unit of its work."""
-        pace = self._paces.setdefault(worker.life, _Pace())
-        pace.paces_s.append(seconds)
-        pace.noted_s = now_s()
-        pace.num_noted += 1
-        if pace.num_noted % NUM_PACES_BETWEEN_MEDIANS == 0:
-            # The median, as a worker that loads weights holds all its runs up for a moment.
-            pace.pace_s = median(pace.paces_s)
-            self._best_paces_s.clear()
+        """Record the interval before one event, in seconds."""
+        stats = self._intervals.setdefault(worker.life, _IntervalStats())
+        stats.intervals_s.append(seconds)
+        stats.recorded_s = now_s()
+        stats.num_recorded += 1
+        if stats.num_recorded % NUM_PACES_BETWEEN_MEDIANS == 0:
+            # Unlike the mean, the median ignores short stalls, such as the loading of weights.
+            stats.median_s = median(stats.intervals_s)
+            self._best_intervals_s.clear()
 
     def note_workers_changed(self) -> None:
-        """Workers came or went: the best of a service may be another one."""
-        self._best_paces_s.clear()
+        """Discard the cached best intervals, after workers were added or removed."""
+        self._best_intervals_s.clear()
 
     def forget(self, life: WorkerLife) -> None:
-        """A life of a worker is over."""
-        self._paces.pop(life, None)
+        """Remove the intervals of an incarnation that has ended."""
+        self._intervals.pop(life, None)
 
     def is_much_slower(self, worker: Worker) -> bool:
-        """Whether a worker has lately been much slower than the best of its service."""
+        """Whether a worker has recently been much slower than the fastest of its service."""
         return self._slowness(worker, PACE_FADE_S, MIN_SLOWNESS) >= MUCH_SLOWER
 
     def slowness_for_placing(self, worker: Worker) -> float:
-        """A worker's own pace as a multiple of the best of its service."""
+        """Return a worker's interval as a multiple of the best of its service."""
         return self._slowness(worker, PLACING_FADE_S, MIN_PLACING_SLOWNESS)
 
     def time_saved_s(self, worker: Worker, other: Worker | None, num_units: float) -> float:
-        """How much sooner another worker would do so many units of work, in seconds.
+        """Return the time saved by moving work to another worker, in seconds.
 
         Args:
-            worker: The worker that does them now.
+            worker: The worker that does the work now.
             other: The other worker; ``None`` for the fastest of the service.
-            num_units: How many units.
+            num_units: Number of units of work.
         """
-        pace_s = self._known_pace_s(worker)
-        if pace_s is None:
+        interval_s = self._known_interval_s(worker)
+        if interval_s is None:
             return 0.0
         other_slowness = 1.0 if other is None else self.slowness_for_placing(other)
-        return num_units * pace_s * (1.0 - other_slowness / self.slowness_for_placing(worker))
+        return num_units * interval_s * (1.0 - other_slowness / self.slowness_for_placing(worker))
 
-    def _slowness(self, worker: Worker, fade_s: float, least: float) -> float:
-        """A worker's pace against the best; 1 if nothing is known or it is less than ``least``."""
-        pace = self._paces.get(worker.life)
-        if pace is None or pace.pace_s is None:
+    def _slowness(self, worker: Worker, decay_s: float, threshold: float) -> float:
+        """Return a worker's interval divided by the best; 1 if unknown or below ``threshold``."""
+        stats = self._intervals.get(worker.life)
+        if stats is None or stats.median_s is None:
             return 1.0
-        best_s = max(self._best_pace_s(worker.service), MIN_PACE_S)
-        ratio = max(1.0, min(MAX_SLOWNESS, pace.pace_s / best_s))
-        fading = math.exp(-(now_s() - pace.noted_s) / fade_s)
-        slowness = 1.0 + (ratio - 1.0) * fading
-        return slowness if slowness >= least else 1.0
-
-    def _best_pace_s(self, service: str) -> float:
-        """The best pace known in a service, in seconds; infinite if none is."""
-        if service not in self._best_paces_s:
-            paces = [self._known_pace_s(worker) for worker in self._serving(service)]
-            known = [pace_s for pace_s in paces if pace_s is not None]
-            self._best_paces_s[service] = min(known, default=float("inf"))
-        return self._best_paces_s[service]
-
-    def _known_pace_s(self, worker: Worker) -> float | None:
-        pace = self._paces.get(worker.life)
-        return None if pace is None else pace.pace_s
+        best_s = max(self._best_interval_s(worker.service), MIN_PACE_S)
+        ratio = max(1.0, min(MAX_SLOWNESS, stats.median_s / best_s))
+        decay = math.exp(-(now_s() - stats.recorded_s) / decay_s)
+        slowness = 1.0 + (ratio - 1.0) * decay
+        return slowness if slowness >= threshold else 1.0
+
+    def _best_interval_s(self, service: str) -> float:
+        """Return the shortest known interval of a service, in seconds; infinite if unknown."""
+        if service not in self._best_intervals_s:
+            medians_s = [self._known_interval_s(worker) for worker in self._serving(service)]
+            known = [interval_s for interval_s in medians_s if interval_s is not None]
+            self._best_intervals_s[service] = min(known, default=float("inf"))
+        return self._best_intervals_s[service]
+
+    def _known_interval_s(self, worker: Worker) -> float | None:
+        stats = self._intervals.get(worker.life)
+        return None if stats is None else stats.median_s
--- a/src/hollowrack/forwarding/workers.py
+++ b/src/hollowrack/forwarding/workers.py
@@ -1,4 +1,4 @@
-"""The workers this node knows, what it has in flight at each, and direct evidence about them."""
+"""Directory of workers with this node's in-flight requests and observations of failures."""
 
 import random
 from collections.abc import Callable, Collection
@@ -18,15 +18,15 @@
 MAX_UNREACHABLE_PAUSE_S = 4.0
 FAILURE_PAUSE_S = 0.15
 REMOTE_ZONE_PENALTY = 0.06
-# A full worker is taken for that much slower than an empty one when runs are placed.
+# Cost of a full worker compared with an idle one when runs are placed; a slowness of 1 costs 1.
 PLACING_LOAD_WEIGHT = 0.25
 FAILURE_DECAY = 0.5
 FAILURE_WEIGHT = 2.0
 
 
 @dataclass
-class _Evidence:
-    """What this node has seen of one life of a worker."""
+class _Observations:
+    """This node's requests to one incarnation of a worker and the failures it observed."""
 
     num_in_flight: int = 0
     paused_until_s: float = -float("inf")
@@ -39,84 +39,85 @@
 
 
 def both(first: Eligible, second: Eligible) -> Eligible:
-    """Return the condition that two conditions hold."""
+    """Return the conjunction of two conditions."""
     return lambda worker: first(worker) and second(worker)
 
 
 class WorkerDirectory:
-    """Workers by service, with the load and the failures seen from this node.
+    """Chooses workers by service from the registry and this node's observations.
 
-    One life of each identity is known. All that was seen belongs to the life in which it was seen.
+    Holds the latest incarnation of each worker. Observations are kept per incarnation and do not
+    carry over to the next one.
 
     Args:
-        zone: This node's zone; near workers are preferred when equally loaded.
-        rng: Source of all random choices.
+        zone: This node's zone, whose workers are preferred.
+        rng: Random number generator for choices among workers.
 
     Attributes:
-        loads: How soon each worker should answer a plain request.
+        loads: Expected latencies of plain requests by worker.
     """
 
     def __init__(self, zone: str, rng: random.Random) -> None:
         self._zone = zone
         self._rng = rng
         self._workers: dict[str, Worker] = {}
-        self._evidence: dict[WorkerLife, _Evidence] = {}
+        self._observations: dict[WorkerLife, _Observations] = {}
         self.loads = WorkerLoads(zone, rng, self.num_in_flight)
-        self._paces = WorkerPaces(self.serving)
+        self._event_intervals = WorkerPaces(self.serving)
         self._listeners: list[Callable[[], None]] = []
         self._end_listeners: list[Callable[[Worker], None]] = []
 
     @property
     def rng(self) -> random.Random:
-        """Source of the random choices about workers."""
+        """Random number generator for choices among workers."""
         return self._rng
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call a listener whenever a worker may have become available."""
+        """Register a listener that is called when a worker may have become available."""
         self._listeners.append(listener)
 
     def on_end(self, listener: Callable[[Worker], None]) -> None:
-        """Call a listener with the worker of each request that is over."""
+        """Register a listener that is called with the worker of each request that has ended."""
         self._end_listeners.append(listener)
 
     def put(self, worker: Worker) -> None:
-        """Take in a worker's newest state; that of a life before the known one is ignored."""
+        """Update the registry entry of a worker; entries of earlier incarnations are ignored."""
         known = self._workers.get(worker.id)
         if known is not None and worker.started_ms < known.started_ms:
             logging.info("worker %s: ignored, %s is known", worker.life, known.life)
             return
         self._workers[worker.id] = worker
-        self._evidence.setdefault(worker.life, _Evidence())
+        self._observations.setdefault(worker.life, _Observations())
         if known is not None and known.life != worker.life:
             logging.info("worker %s: started again as %s", known.life, worker.life)
             self.loads.forget(known.life)
-            self._drop_evidence_at_rest(known)
-        self._paces.note_workers_changed()
+            self._remove_observations_if_idle(known)
+        self._event_intervals.note_workers_changed()
         self._notify()
 
     def remove(self, worker_id: str) -> None:
-        """Forget a worker that is gone."""
+        """Remove a worker that has left the registry."""
         worker = self._workers.pop(worker_id, None)
-        self._paces.note_workers_changed()
+        self._event_intervals.note_workers_changed()
         if worker is not None:
             self.loads.forget(worker.life)
-            self._drop_evidence_at_rest(worker)
+            self._remove_observations_if_idle(worker)
 
     def get(self, worker_id: str) -> Worker | None:
-        """Return a worker by its identity."""
+        """Return a worker by its identity; ``None`` if it is unknown."""
         return self._workers.get(worker_id)
 
     def knows(self, life: WorkerLife) -> bool:
-        """Whether a life of a worker is the one that is there."""
+        """Whether an incarnation is the current one of its worker."""
         worker = self._workers.get(life.worker_id)
         return worker is not None and worker.life == life
 
     def all(self) -> list[Worker]:
-        """Return all workers, leaving ones included."""
+        """Return all workers, including those that are draining."""
         return list(self._workers.values())
 
     def serving(self, service: str) -> list[Worker]:
-        """Return a service's workers that take new work."""
+        """Return a service's workers that accept new requests."""
         return [
             worker
             for worker in self._workers.values()
@@ -128,21 +129,24 @@
         service: str,
         excluded: Collection[WorkerLife] = (),
     ) -> Worker | None:
-        """Choose a worker of a service that should answer a request soon.
+        """Choose a worker for a plain request by its expected latency.
 
         Args:
-            service: The service.
-            excluded: Lives of workers not to be chosen.
+            service: Name of the service.
+            excluded: Incarnations that are not chosen.
+
+        Returns:
+            The worker; ``None`` if the service has no other workers.
         """
         candidates = [worker for worker in self.serving(service) if worker.life not in excluded]
         ready = [worker for worker in candidates if not self._is_paused(worker)]
         return self.loads.choose(ready or candidates)
 
     def choose_sooner(self, late: Worker, excluded: Collection[WorkerLife]) -> Worker | None:
-        """Choose a worker for a request that is late at another one of the service.
+        """Choose a worker for a hedged attempt of a request that is late at another worker.
 
-        It has a free slot, has not failed or refused a moment ago, and is expected to answer
-        sooner: where all are late, a further attempt only adds load.
+        Only workers that have a free slot, are not paused after a failure and are expected to
+        answer sooner are considered: if all workers are slow, hedging only adds load.
         """
         candidates = [
             worker
@@ -155,14 +159,14 @@
         return self.loads.choose(candidates)
 
     def soonest_answer_s(self, service: str, work: str) -> float | None:
-        """How long the soonest worker should take for a request that has to wait for a slot.
+        """Return the lowest expected latency of a request that has to wait for a slot.
 
         Args:
-            service: The service.
-            work: What kind of work it is.
+            service: Name of the service.
+            work: Kind of work; latencies are tracked separately for each kind.
 
         Returns:
-            The time in seconds; ``None`` if a slot is free somewhere, or nothing is known.
+            The latency in seconds; ``None`` if any worker has a free slot or no known latency.
         """
         soonest_s: float | None = None
         for worker in self.serving(service):
@@ -179,36 +183,41 @@
         is_eligible: Eligible,
         limit: Callable[[Worker], int] | None = None,
     ) -> Worker | None:
-        """Choose the fastest worker of a service that has room for a run.
+        """Choose the fastest worker of a service that has a free slot for a run.
 
-        How long a run takes depends on the pace of its worker far more than on the others there;
-        so those that are placed first, the longest, go to the fastest workers.
+        The duration of a run depends on the speed of its worker much more than on the load there.
+        Runs are placed longest first, so that the longest go to the fastest workers.
 
         Args:
-            service: The service.
-            excluded: Lives of workers not to be chosen.
-            is_eligible: Further condition.
+            service: Name of the service.
+            excluded: Incarnations that are not chosen.
+            is_eligible: Condition that the worker has to meet.
             limit: Returns how many requests this node may have in flight at a worker; ``None`` for
-                its capacity.
+                the worker's capacity.
+
+        Returns:
+            The worker; ``None`` if there is none.
         """
         candidates = [
             worker
             for worker in self.serving(service)
             if worker.life not in excluded and is_eligible(worker)
         ]
-        with_room = [worker for worker in self._usable(candidates) if self._has_room(worker, limit)]
-        return min(with_room, key=self._placing_cost, default=None)
+        with_free_slot = [
+            worker for worker in self._usable(candidates) if self._has_room(worker, limit)
+        ]
+        return min(with_free_slot, key=self._placement_cost, default=None)
 
     def placeable(self, service: str) -> list[Worker]:
-        """Return a service's workers at which runs are placed now, full ones included."""
+        """Return the workers of a service that runs may be placed at, including full ones."""
         return self._usable(self.serving(service))
 
     def has_room(self, service: str, is_eligible: Eligible, limit: Callable[[Worker], int]) -> bool:
-        """Whether any worker that will do has room: if not, ``choose_place`` finds none.
+        """Whether any eligible worker has a free slot; if not, ``choose_place`` finds none.
 
         Args:
-            service: The service.
-            is_eligible: Which of its workers will do.
+            service: Name of the service.
+            is_eligible: Condition that the worker has to meet.
             limit: Returns how many requests this node may have in flight at a worker.
         """
         return any(
@@ -217,82 +226,82 @@
         )
 
     def begin(self, worker: Worker) -> None:
-        """A request goes to a worker."""
-        self._evidence.setdefault(worker.life, _Evidence()).num_in_flight += 1
+        """Count a request that is sent to a worker."""
+        self._observations.setdefault(worker.life, _Observations()).num_in_flight += 1
 
     def end(self, worker: Worker) -> None:
-        """A request at a worker is over."""
-        evidence = self._of(worker)
-        evidence.num_in_flight -= 1
+        """Release the slot of a request that has ended."""
+        observations = self._observations_of(worker)
+        observations.num_in_flight -= 1
         if not self.knows(worker.life):
-            self._drop_evidence_at_rest(worker)
+            self._remove_observations_if_idle(worker)
             self.loads.forget(worker.life)
         for listener in self._end_listeners:
             listener(worker)
         self._notify()
 
     def note_success(self, worker: Worker) -> None:
-        """A worker answered well."""
-        evidence = self._of(worker)
-        evidence.num_failures_in_a_row = 0
-        evidence.num_refusals_in_a_row = 0
-        evidence.failure_score *= FAILURE_DECAY
+        """Record that a worker answered a request."""
+        observations = self._observations_of(worker)
+        observations.num_failures_in_a_row = 0
+        observations.num_refusals_in_a_row = 0
+        observations.failure_score *= FAILURE_DECAY
 
     def note_pace(self, worker: Worker, seconds: float, work: str = "") -> None:
-        """A worker took this long for one unit of its work: a request, or an event of a stream.
+        """Record the latency of one unit of work: a request, or an event of a stream.
 
         Args:
-            worker: The worker.
-            seconds: How long it took.
-            work: What kind of work it was; times of one kind are compared with each other.
+            worker: The worker that did the work.
+            seconds: Latency in seconds.
+            work: Kind of work; latencies are compared within one kind only.
         """
         if not self.knows(worker.life):
-            return  # Nothing that is noted of a life that is over would ever be forgotten.
+            return  # State of an incarnation that has ended would never be removed.
         self.loads.note_answer(worker, work, seconds)
-        self._paces.note(worker, seconds)
+        self._event_intervals.note(worker, seconds)
 
     def is_much_slower(self, worker: Worker) -> bool:
-        """Whether a worker has lately been much slower than the best of its service."""
-        return self._paces.is_much_slower(worker)
+        """Whether a worker has recently been much slower than the fastest of its service."""
+        return self._event_intervals.is_much_slower(worker)
 
     def time_saved_s(self, worker: Worker, other: Worker | None, num_units: float) -> float:
-        """How much sooner another worker would do so many units of work, in seconds.
+        """Return the time saved by moving work to another worker, in seconds.
 
         Args:
-            worker: The worker that does them now.
+            worker: The worker that does the work now.
             other: The other worker; ``None`` for the fastest of the service.
-            num_units: How many units.
+            num_units: Number of units of work.
         """
-        return self._paces.time_saved_s(worker, other, num_units)
+        return self._event_intervals.time_saved_s(worker, other, num_units)
 
     def note_busy(self, worker: Worker) -> None:
-        """A worker refused for lack of room."""
+        """Record that a worker refused a request because it is full."""
         if self._is_paused(worker):
-            return  # One of many requests that were refused together.
-        evidence = self._of(worker)
-        pause_s = min(MAX_BUSY_PAUSE_S, BUSY_PAUSE_S * 2**evidence.num_refusals_in_a_row)
-        evidence.num_refusals_in_a_row += 1
+            return  # Concurrent refusals count once.
+        observations = self._observations_of(worker)
+        pause_s = min(MAX_BUSY_PAUSE_S, BUSY_PAUSE_S * 2**observations.num_refusals_in_a_row)
+        observations.num_refusals_in_a_row += 1
         self._pause(worker, pause_s)
 
     def note_failure(self, worker: Worker) -> None:
-        """A worker broke an answer off or gave none."""
+        """Record that a worker sent an incomplete answer or none."""
         self.loads.note_failure(worker)
-        evidence = self._of(worker)
-        evidence.num_failures_in_a_row += 1
-        evidence.failure_score = evidence.failure_score * FAILURE_DECAY + 1.0
-        self._pause(worker, FAILURE_PAUSE_S * evidence.num_failures_in_a_row)
+        observations = self._observations_of(worker)
+        observations.num_failures_in_a_row += 1
+        observations.failure_score = observations.failure_score * FAILURE_DECAY + 1.0
+        self._pause(worker, FAILURE_PAUSE_S * observations.num_failures_in_a_row)
 
     def note_unreachable(self, worker: Worker) -> None:
-        """No connection to a worker could be made."""
+        """Record that no connection to a worker could be established."""
         self.loads.note_failure(worker)
-        evidence = self._of(worker)
-        evidence.num_failures_in_a_row += 1
-        evidence.failure_score = evidence.failure_score * FAILURE_DECAY + 1.0
-        pause_s = UNREACHABLE_PAUSE_S * 2 ** min(evidence.num_failures_in_a_row - 1, 5)
+        observations = self._observations_of(worker)
+        observations.num_failures_in_a_row += 1
+        observations.failure_score = observations.failure_score * FAILURE_DECAY + 1.0
+        pause_s = UNREACHABLE_PAUSE_S * 2 ** min(observations.num_failures_in_a_row - 1, 5)
         self._pause(worker, min(pause_s, MAX_UNREACHABLE_PAUSE_S))
 
     def note_not_run(self, worker: Worker, reason: NotRunReason) -> None:
-        """A worker certainly did not run a request."""
+        """Record that a worker certainly did not run a request."""
         if reason is NotRunReason.BUSY:
             self.note_busy(worker)
         elif reason is NotRunReason.UNREACHABLE:
@@ -301,40 +310,40 @@
             self.note_replaced(worker)
 
     def note_replaced(self, worker: Worker) -> None:
-        """Another incarnation answers at a worker's address: this one is gone."""
+        """Remove a worker at whose address another incarnation answers."""
         if self.knows(worker.life):
             self.remove(worker.id)
 
     def num_in_flight(self, worker: Worker) -> int:
-        """Return how many requests this node has at a worker."""
-        return self._of(worker).num_in_flight
+        """Return the number of requests that this node has in flight at a worker."""
+        return self._observations_of(worker).num_in_flight
 
     def num_turns(self, worker: Worker) -> float:
-        """How often a worker's slots are filled by what this node has there; 1 while they suffice.
+        """Return this node's requests in flight at a worker per slot, at least 1.
 
-        So many times longer than usual a request takes that is the last one sent there.
+        The latest request sent there takes about this many times longer than at an idle worker.
         """
         return max(1.0, self.num_in_flight(worker) / max(1, worker.capacity))
 
-    def _of(self, worker: Worker) -> _Evidence:
-        """What was seen of a worker; of one that is gone and at rest nothing is remembered."""
-        return self._evidence.get(worker.life) or _Evidence()
+    def _observations_of(self, worker: Worker) -> _Observations:
+        """Return the observations of a worker; empty ones if none are kept."""
+        return self._observations.get(worker.life) or _Observations()
 
-    def _drop_evidence_at_rest(self, worker: Worker) -> None:
-        """Forget a life that is over, unless requests are still in flight there."""
-        if self._of(worker).num_in_flight <= 0:
-            self._evidence.pop(worker.life, None)
-            self._paces.forget(worker.life)
+    def _remove_observations_if_idle(self, worker: Worker) -> None:
+        """Remove the observations of an ended incarnation that has no requests in flight."""
+        if self._observations_of(worker).num_in_flight <= 0:
+            self._observations.pop(worker.life, None)
+            self._event_intervals.forget(worker.life)
 
     def _pause(self, worker: Worker, pause_s: float) -> None:
-        evidence = self._of(worker)
-        evidence.paused_until_s = max(evidence.paused_until_s, now_s() + pause_s)
+        observations = self._observations_of(worker)
+        observations.paused_until_s = max(observations.paused_until_s, now_s() + pause_s)
 
     def _is_paused(self, worker: Worker) -> bool:
-        return now_s() < self._of(worker).paused_until_s
+        return now_s() < self._observations_of(worker).paused_until_s
 
     def _usable(self, workers: list[Worker]) -> list[Worker]:
-        """Those of some workers that answer, without much slower ones if there are others."""
+        """Return the workers that are not paused, without much slower ones if there are others."""
         ready = [worker for worker in workers if not self._is_paused(worker)]
         if any(not self.is_much_slower(worker) for worker in workers):
             return [worker for worker in ready if not self.is_much_slower(worker)]
@@ -342,13 +351,13 @@
 
     def _has_room(self, worker: Worker, limit: Callable[[Worker], int] | None) -> bool:
         max_in_flight = max(1, worker.capacity) if limit is None else limit(worker)
-        return self._of(worker).num_in_flight < max_in_flight
+        return self._observations_of(worker).num_in_flight < max_in_flight
 
-    def _placing_cost(self, worker: Worker) -> tuple[float, float]:
-        evidence = self._of(worker)
-        load = (evidence.num_in_flight + 1) / max(1, worker.capacity)
-        cost = self._paces.slowness_for_placing(worker) + PLACING_LOAD_WEIGHT * load
-        cost += FAILURE_WEIGHT * evidence.failure_score
+    def _placement_cost(self, worker: Worker) -> tuple[float, float]:
+        observations = self._observations_of(worker)
+        load = (observations.num_in_flight + 1) / max(1, worker.capacity)
+        cost = self._event_intervals.slowness_for_placing(worker) + PLACING_LOAD_WEIGHT * load
+        cost += FAILURE_WEIGHT * observations.failure_score
         if worker.zone != self._zone:
             cost += REMOTE_ZONE_PENALTY
         return (cost, self._rng.random())
