--- a/src/hollowrack/forwarding/call_places.py
+++ b/src/hollowrack/forwarding/call_places.py
@@ -1,7 +1,7 @@
-"""Bounds the calls of the system's own that this node has at workers at once.
+"""Limits this node's own concurrent calls to workers that also serve callers.
 
-For this load: dozens of items of a job end together and each calls a scorer, which shares its
-workers with callers. Inside the workers those calls would hold every slot and fill the queue.
+Many items of a job may end together, each followed by a call to a scorer. Without a limit these
+calls would occupy all slots of the scorer's workers.
 """
 
 import asyncio
@@ -14,83 +14,82 @@
 from hollowrack.forwarding.types import Route
 from hollowrack.forwarding.workers import WorkerDirectory
 
-# Share of a worker's slots that one node's calls may take: with two nodes at it, callers still
-# find a third of the slots free.
+# Fraction of a worker's slots that the calls of one node may use.
 CALL_SHARE = 1.0 / 3.0
 
 _Services = tuple[str, ...]
 
 
 class CallPlaces:
-    """Places for calls, handed out in the order in which they are asked for.
+    """Limits concurrent calls by set of services; calls wait in order of arrival.
 
-    Calls whose workers serve no other plain requests are not bounded.
+    Calls whose workers serve no other plain requests are not limited.
 
     Args:
-        routes: The routes in force.
-        workers: The workers known, whose slots are shared.
+        routes: Current routes.
+        workers: Directory of workers, whose capacity determines the limit.
     """
 
     def __init__(self, routes: RouteTable, workers: WorkerDirectory) -> None:
         self._routes = routes
         self._workers = workers
-        self._num_taken: Counter[_Services] = Counter()
+        self._num_in_use: Counter[_Services] = Counter()
         self._waiting: dict[_Services, deque[asyncio.Future[None]]] = {}
-        workers.on_change(self._hand_out)
+        workers.on_change(self._grant_waiting)
 
     @property
     def num_waiting(self) -> int:
-        """How many calls wait for a place."""
+        """Number of calls that wait for a slot."""
         return sum(len(queue) for queue in self._waiting.values())
 
     @contextlib.asynccontextmanager
     async def place(self, route: Route) -> AsyncIterator[None]:
-        """Hold a place among the calls to a route's services; waits until there is one."""
+        """Hold a slot for a call to a route's services; waits until one is free."""
         if not self._routes.shares_workers(route):
             yield
             return
         services = tuple(target.service for target in route.targets)
-        await self._take(services)
+        await self._acquire(services)
         try:
             yield
         finally:
-            self._give_back(services)
+            self._release(services)
 
-    async def _take(self, services: _Services) -> None:
+    async def _acquire(self, services: _Services) -> None:
         if services not in self._waiting and self._has_room(services):
-            self._num_taken[services] += 1
+            self._num_in_use[services] += 1
             return
-        handed_out = asyncio.get_running_loop().create_future()
-        self._waiting.setdefault(services, deque()).append(handed_out)
+        granted = asyncio.get_running_loop().create_future()
+        self._waiting.setdefault(services, deque()).append(granted)
         try:
-            await handed_out
+            await granted
         except asyncio.CancelledError:
-            if handed_out.done() and not handed_out.cancelled():
-                self._give_back(services)
+            if granted.done() and not granted.cancelled():
+                self._release(services)
             raise
 
-    def _give_back(self, services: _Services) -> None:
-        self._num_taken[services] -= 1
-        if self._num_taken[services] == 0:
-            del self._num_taken[services]
-        self._hand_out()
+    def _release(self, services: _Services) -> None:
+        self._num_in_use[services] -= 1
+        if self._num_in_use[services] == 0:
+            del self._num_in_use[services]
+        self._grant_waiting()
 
-    def _hand_out(self) -> None:
+    def _grant_waiting(self) -> None:
         for services in list(self._waiting):
             queue = self._waiting[services]
             while queue and (queue[0].cancelled() or self._has_room(services)):
-                handed_out = queue.popleft()
-                if not handed_out.cancelled():
-                    self._num_taken[services] += 1
-                    handed_out.set_result(None)
+                granted = queue.popleft()
+                if not granted.cancelled():
+                    self._num_in_use[services] += 1
+                    granted.set_result(None)
             if not queue:
                 del self._waiting[services]
 
     def _has_room(self, services: _Services) -> bool:
-        num_places = sum(
+        num_slots = sum(
             ceil(CALL_SHARE * worker.capacity)
             for service in services
             for worker in self._workers.serving(service)
         )
-        # Without workers one call goes on, and learns what its caller is to be told.
-        return self._num_taken[services] < max(1, num_places)
+        # Without workers one call proceeds and fails with the appropriate error.
+        return self._num_in_use[services] < max(1, num_slots)
--- a/src/hollowrack/forwarding/dispatch_queue.py
+++ b/src/hollowrack/forwarding/dispatch_queue.py
@@ -1,4 +1,4 @@
-"""Hands out places at workers to waiting items in the order of their rank."""
+"""Scheduling queue that assigns slots at workers to waiting runs by rank."""
 
 import asyncio
 import bisect
@@ -13,27 +13,29 @@
 from hollowrack.forwarding.types import Worker, WorkerLife
 from hollowrack.forwarding.workers import Eligible, WorkerDirectory
 
-# Pauses of workers end without notice, so that waiting items look again now and then.
+# Interval of dispatch passes while runs wait: the end of a worker's pause triggers no event.
 LOOK_AGAIN_S = 0.05
 
 RankOf = Callable[[], DispatchRank]
 
 
 def any_worker(worker: Worker) -> bool:
-    """The condition of a run that every worker of its service suits."""
+    """Condition that every worker meets."""
     del worker
     return True
 
 
 @dataclass(eq=False)
 class _Waiter:
-    """One wait for a place.
+    """A run that waits for a slot.
 
     Attributes:
-        rank_of: Returns its rank as it is now.
-        rank: Its rank when the queue was last sorted.
-        number: Breaks ties in the order of arrival.
-        since_s: When it began to wait, on the loop's clock.
+        rank_of: Returns its current rank.
+        rank: Rank when the queue was last sorted.
+        number: Sequence number; breaks ties in order of arrival.
+        since_s: Start of the wait, on the loop's clock.
+        avoided: Incarnations that are chosen only if there is no other worker.
+        slot: Future that is resolved with the worker at which a slot was reserved.
     """
 
     rank_of: RankOf
@@ -43,90 +45,89 @@
     service: str
     is_eligible: Eligible
     avoided: frozenset[WorkerLife]
-    place: "asyncio.Future[Worker]"
+    slot: "asyncio.Future[Worker]"
 
     @property
     def sort_key(self) -> tuple[DispatchRank, int]:
-        """Lower keys go first."""
+        """Key by which the queue is sorted; the lowest goes first."""
         return (self.rank, self.number)
 
 
 @dataclass(frozen=True)
 class WaitingLoad:
-    """What waits for the workers of one service.
+    """Runs that wait for workers of one service.
 
     Attributes:
-        num_waiting: How many runs wait.
-        oldest_wait_s: How long the one that came first has waited, in seconds.
+        num_waiting: Number of waiting runs.
+        oldest_wait_s: Time that the longest waiting run has waited, in seconds.
     """
 
     num_waiting: int
     oldest_wait_s: float
 
 
-class _PassMemory:
-    """What one pass over the waiters has found; room only becomes less while it lasts.
+class _PassCache:
+    """Caches failed searches for a free slot during one dispatch pass.
 
-    With hundreds of waiters and no room, a look for each of them at each change would take a whole
-    processor: 300 waiters before 44 full workers took 15 s of one for each second.
+    Within a pass slots are only taken, so a search that failed fails again. Without the cache, the
+    cost of a pass would be the number of waiting runs times the number of workers.
 
     Args:
-        workers: The workers known.
-        limits: How many requests this node may have in flight at each worker.
+        workers: Directory of workers.
+        limits: Limits on this node's requests in flight at each worker.
     """
 
     def __init__(self, workers: WorkerDirectory, limits: SlotLimits) -> None:
         self._workers = workers
         self._limits = limits
         self._has_room: dict[tuple[str, Eligible], bool] = {}
-        self._without_place: set[tuple[str, Eligible, frozenset[WorkerLife]]] = set()
+        self._failed_searches: set[tuple[str, Eligible, frozenset[WorkerLife]]] = set()
 
     def choose(self, waiter: _Waiter) -> Worker | None:
-        """Choose a place for a waiter, without a look if there can be none."""
+        """Choose a worker with a free slot for a waiter; ``None`` if there is none."""
         if not self._may_have_room(waiter):
             return None
-        worker = self._look(waiter, waiter.avoided)
+        worker = self._search(waiter, waiter.avoided)
         if worker is None and waiter.avoided:
-            worker = self._look(waiter, frozenset())
+            worker = self._search(waiter, frozenset())
         if worker is not None:
             self._has_room.clear()
         return worker
 
     def _may_have_room(self, waiter: _Waiter) -> bool:
-        # Asked for any worker first, as that is the same for all waiters of a service.
+        # The check for any worker comes first because all waiters of a service share its result.
         service = waiter.service
         return self._has_room_for(service, any_worker) and self._has_room_for(
             service, waiter.is_eligible
         )
 
     def _has_room_for(self, service: str, is_eligible: Eligible) -> bool:
-        need = (service, is_eligible)
-        if need not in self._has_room:
-            self._has_room[need] = self._workers.has_room(*need, self._limits.limit)
-        return self._has_room[need]
-
-    def _look(self, waiter: _Waiter, avoided: frozenset[WorkerLife]) -> Worker | None:
-        wish = (waiter.service, waiter.is_eligible, avoided)
-        if wish in self._without_place:
+        key = (service, is_eligible)
+        if key not in self._has_room:
+            self._has_room[key] = self._workers.has_room(*key, self._limits.limit)
+        return self._has_room[key]
+
+    def _search(self, waiter: _Waiter, avoided: frozenset[WorkerLife]) -> Worker | None:
+        key = (waiter.service, waiter.is_eligible, avoided)
+        if key in self._failed_searches:
             return None
         worker = self._workers.choose_place(
             waiter.service, avoided, waiter.is_eligible, self._limits.limit
         )
         if worker is None:
-            self._without_place.add(wish)
+            self._failed_searches.add(key)
         return worker
 
 
 class DispatchQueue:
-    """Waiting items of all jobs of this node.
+    """Queue of this node's runs that wait for slots at workers.
 
     Args:
-        workers: The workers known.
+        workers: Directory of workers.
 
     Attributes:
-        limits: How many requests this node may have in flight at each worker before an item of a
-            job is placed there.
-        statistics: What is counted of the runs that go through the queue.
+        limits: Limits on this node's requests in flight at each worker, applied to items of jobs.
+        statistics: Statistics of the runs that use the queue.
     """
 
     def __init__(self, workers: WorkerDirectory) -> None:
@@ -136,18 +137,18 @@
         self._waiters: list[_Waiter] = []
         self._numbers = itertools.count()
         self._timer: asyncio.TimerHandle | None = None
-        self._is_order_old = False
-        # Number of the newest waiter that found no place when it was first looked at.
-        self._newest_unplaced = -1
+        self._is_sort_outdated = False
+        # Highest number of a waiter that has been left without a slot after a pass.
+        self._newest_unassigned = -1
         workers.on_change(self.look_again)
 
     @property
     def num_waiting(self) -> int:
-        """How many items wait."""
+        """Number of waiting runs."""
         return len(self._waiters)
 
     def num_free_places(self, service: str, is_eligible: Eligible) -> int:
-        """Return how many places this node may still give at the workers that will do."""
+        """Return the number of slots that this node may still use at eligible workers."""
         return sum(
             max(0, self.limits.limit(worker) - self._workers.num_in_flight(worker))
             for worker in self._workers.placeable(service)
@@ -155,7 +156,7 @@
         )
 
     def waiting_by_service(self) -> dict[str, WaitingLoad]:
-        """Return what waits, by service."""
+        """Return the waiting runs by service."""
         now = now_s()
         loads: dict[str, WaitingLoad] = {}
         for waiter in self._waiters:
@@ -171,17 +172,17 @@
         is_eligible: Eligible,
         avoided: frozenset[WorkerLife],
     ) -> Worker:
-        """Wait for a place at a worker; it counts as begun and must be given back.
+        """Wait for a slot at a worker and reserve it; the caller has to release it.
 
         Args:
-            service: The service.
-            rank_of: Returns the rank; lower ranks go first. It is asked again after
+            service: Name of the service.
+            rank_of: Returns the rank; lower ranks go first. It is called again after
                 :meth:`note_reordered`.
-            is_eligible: Which of its workers will do. Waiters whose conditions compare equal share
-                one look at the workers.
-            avoided: Lives of workers taken only if there is no other.
+            is_eligible: Condition that the worker has to meet. Waiters whose conditions compare
+                equal share the search of a dispatch pass.
+            avoided: Incarnations that are chosen only if there is no other worker.
         """
-        place: asyncio.Future[Worker] = asyncio.get_running_loop().create_future()
+        slot: asyncio.Future[Worker] = asyncio.get_running_loop().create_future()
         waiter = _Waiter(
             rank_of,
             rank_of(),
@@ -190,26 +191,26 @@
             service,
             is_eligible,
             avoided,
-            place,
+            slot,
         )
         bisect.insort(self._waiters, waiter, key=lambda other: other.sort_key)
         self.look_again()
         try:
-            return await place
+            return await slot
         except asyncio.CancelledError:
-            if place.done() and not place.cancelled():
-                self._workers.end(place.result())
+            if slot.done() and not slot.cancelled():
+                self._workers.end(slot.result())
             raise
         finally:
             if waiter in self._waiters:
                 self._waiters.remove(waiter)
 
     def note_reordered(self) -> None:
-        """Ranks of waiters may have changed: sort them before places are handed out again."""
-        self._is_order_old = True
+        """Sort the waiters by their current ranks before the next dispatch pass."""
+        self._is_sort_outdated = True
 
     def look_again(self) -> None:
-        """Look for places at once: there may be new ones."""
+        """Schedule a dispatch pass at once, after slots may have become free."""
         self._schedule(0.0)
 
     def _schedule(self, delay_s: float) -> None:
@@ -220,45 +221,45 @@
             if self._timer.when() <= loop.time() + delay_s:
                 return
             self._timer.cancel()
-        self._timer = loop.call_later(delay_s, self._grant)
+        self._timer = loop.call_later(delay_s, self._dispatch)
 
     def _sort_again(self) -> None:
-        self._is_order_old = False
+        self._is_sort_outdated = False
         for waiter in self._waiters:
             waiter.rank = waiter.rank_of()
         self._waiters.sort(key=lambda waiter: waiter.sort_key)
 
-    def _grant(self) -> None:
+    def _dispatch(self) -> None:
         self._timer = None
-        if self._is_order_old:
+        if self._is_sort_outdated:
             self._sort_again()
-        # Nodes share slots for the items of their jobs. A caller's stream is bound by no share: its
-        # node may have none, as it may own no job.
-        memories = {
-            WorkKind.CALLER_STREAM: _PassMemory(self._workers, WholeCapacity()),
-            WorkKind.JOB_ITEM: _PassMemory(self._workers, self.limits),
+        # The limits divide slots among nodes for the items of their jobs. They do not apply to
+        # callers' streams, whose node may own no job and therefore have no slots.
+        caches = {
+            WorkKind.CALLER_STREAM: _PassCache(self._workers, WholeCapacity()),
+            WorkKind.JOB_ITEM: _PassCache(self._workers, self.limits),
         }
-        left: list[_Waiter] = []
+        remaining: list[_Waiter] = []
         for waiter in self._waiters:
-            if waiter.place.done():
+            if waiter.slot.done():
                 continue
-            worker = memories[waiter.rank.kind].choose(waiter)
+            worker = caches[waiter.rank.kind].choose(waiter)
             if worker is None:
-                left.append(waiter)
+                remaining.append(waiter)
             else:
-                self._give(waiter, worker)
-        self._waiters = left
-        self._note_unplaced()
+                self._assign(waiter, worker)
+        self._waiters = remaining
+        self._report_unassigned()
         self._schedule(LOOK_AGAIN_S)
 
-    def _note_unplaced(self) -> None:
-        """Tell once of each waiter that finds no place."""
+    def _report_unassigned(self) -> None:
+        """Report waiting work to the limits, once for each waiter left without a slot."""
         newest = max((waiter.number for waiter in self._waiters), default=-1)
-        if newest > self._newest_unplaced:
-            self._newest_unplaced = newest
+        if newest > self._newest_unassigned:
+            self._newest_unassigned = newest
             self.limits.note_waiting()
 
-    def _give(self, waiter: _Waiter, worker: Worker) -> None:
+    def _assign(self, waiter: _Waiter, worker: Worker) -> None:
         self._workers.begin(worker)
         self.statistics.note_wait(WaitPlace.NODE_QUEUE, now_s() - waiter.since_s)
-        waiter.place.set_result(worker)
+        waiter.slot.set_result(worker)
--- a/src/hollowrack/forwarding/dispatch_rank.py
+++ b/src/hollowrack/forwarding/dispatch_rank.py
@@ -1,4 +1,4 @@
-"""The order in which waiting work is given places at workers."""
+"""Scheduling order of work that waits for slots at workers."""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -7,14 +7,14 @@
 
 
 class WorkKind(IntEnum):
-    """Who waits for the work; lower values go first at equal priority."""
+    """Origin of the work; lower values go first at equal priority."""
 
     CALLER_STREAM = 0
     JOB_ITEM = 1
 
 
 class Usefulness(IntEnum):
-    """What the result of waiting work is worth; lower values go first at equal priority."""
+    """Value of the result of waiting work; lower values go first at equal priority."""
 
     IN_TIME = 0
     LATE = 1
@@ -22,20 +22,20 @@
 
 
 class DispatchRank(NamedTuple):
-    """What decides who goes first, compared field by field; the lowest goes first.
+    """Sort key of waiting work, compared field by field; the lowest goes first.
 
     Attributes:
-        priority: Priority of the route, 0 first.
-        kind: A caller reads its stream now and goes before items.
-        usefulness: Results that come late are worth less, those that a trainer can do without
-            nothing for now; neither should make others late.
-        due_s: When the job's results are due, on the loop's clock; where its groups run together,
-            when the item has to begin for that.
-        sequence: Number of the job on this node; of jobs that are due together the earlier goes
-            first.
-        group_place: Place of the item's group among those of its job.
-        minus_tokens_left: Tokens still expected, negated: the longest item of a group goes first,
-            as what starts last should not be what takes longest.
+        priority: Priority of the route, 0 is the highest.
+        kind: Streams of callers go before items of jobs.
+        usefulness: Work whose result is late, or that the trainer does not need for now, goes after
+            the rest, so that it delays no other work.
+        due_s: When the job's results are due, on the loop's clock; if the job's groups run
+            concurrently, the latest time at which the item has to start for that.
+        sequence: Number of the job on this node; of jobs with the same due time the earlier one
+            goes first.
+        group_place: Rank of the item's group within its job.
+        minus_tokens_left: Expected number of remaining tokens, negated: the longest item of a group
+            starts first.
     """
 
     priority: int
--- a/src/hollowrack/forwarding/dispatch_statistics.py
+++ b/src/hollowrack/forwarding/dispatch_statistics.py
@@ -1,4 +1,4 @@
-"""Counts what runs, is refused and how long work waits, at a cost that a hot path can bear."""
+"""Counters of running and refused runs and histograms of waits, cheap enough for hot paths."""
 
 import bisect
 from collections import Counter
@@ -7,13 +7,12 @@
 
 from hollowrack.forwarding.back_end import NotRunReason
 
-# From what nobody notices to a trainer's patience; half of the buckets lie around the few seconds
-# within which results are due.
+# Finest around the few seconds within which results are due.
 BUCKET_BOUNDS_S = (0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0, 16.0)
 
 
 class WaitPlace(Enum):
-    """What is waited for; the value is the label of the metric."""
+    """What work waits for; the value is the label of the metric."""
 
     NODE_QUEUE = "node_queue"
     FIRST_EVENT = "first_event"
@@ -23,36 +22,36 @@
 
 @dataclass
 class WaitHistogram:
-    """Waits counted by their length.
+    """Histogram of the lengths of waits.
 
     Attributes:
-        counts: Waits of each bucket; the last has no upper bound.
-        sum_s: All waits together, in seconds.
+        counts: Number of waits per bucket of :data:`BUCKET_BOUNDS_S`; the last is unbounded.
+        sum_s: Sum of all waits, in seconds.
     """
 
     counts: list[int] = field(default_factory=lambda: [0] * (len(BUCKET_BOUNDS_S) + 1))
     sum_s: float = 0.0
 
     def note(self, seconds: float) -> None:
-        """Count one wait."""
+        """Record one wait, in seconds."""
         self.counts[bisect.bisect_left(BUCKET_BOUNDS_S, seconds)] += 1
         self.sum_s += seconds
 
 
 class DispatchStatistics:
-    """What one node has seen of its runs.
+    """Statistics of the runs of one node.
 
     Attributes:
-        waits: Waits by place.
-        num_running: Runs that have a place at a worker now, by service.
-        num_refusals: Runs that workers certainly did not begin, by service and reason.
+        waits: Histogram for each kind of wait.
+        num_running: Number of runs that currently have a slot at a worker, by service.
+        num_refusals: Number of attempts that workers certainly did not run, by service and reason.
     """
 
     def __init__(self) -> None:
-        self.waits = {place: WaitHistogram() for place in WaitPlace}
+        self.waits = {kind: WaitHistogram() for kind in WaitPlace}
         self.num_running: Counter[str] = Counter()
         self.num_refusals: Counter[tuple[str, NotRunReason]] = Counter()
 
-    def note_wait(self, place: WaitPlace, seconds: float) -> None:
-        """Count one wait."""
-        self.waits[place].note(seconds)
+    def note_wait(self, kind: WaitPlace, seconds: float) -> None:
+        """Record one wait, in seconds."""
+        self.waits[kind].note(seconds)
--- a/src/hollowrack/forwarding/early_refusal.py
+++ b/src/hollowrack/forwarding/early_refusal.py
@@ -1,7 +1,7 @@
-"""Refuses requests that no worker can answer in time, before they are sent.
+"""Load shedding: refuses requests that no worker can answer in time before they are sent.
 
-For this load: more requests than a service's workers can do, for as long as requests last. Callers
-that wait for nothing cannot turn elsewhere, and what is sent for them delays those behind.
+Under sustained overload, a request that is going to time out delays those behind it, and keeps its
+caller from trying elsewhere.
 """
 
 import random
@@ -12,20 +12,20 @@
 from hollowrack.forwarding.workers import WorkerDirectory
 from hollowrack.results import Problem, ResultCode
 
-# Callers are told to come back within this factor of the time needed, so that they spread out.
+# Upper bound of the random factor that spreads retries.
 MAX_JITTER = 1.5
-# Sooner than this nothing has changed: a few requests of a service last as long.
+# About the duration of a few requests.
 MIN_RETRY_AFTER_S = 0.1
-# Later than this the queue is a guess; a caller who comes back too soon is refused at once again.
+# The length of the queue cannot be predicted beyond this time.
 MAX_RETRY_AFTER_S = 5.0
 
 
 class EarlyRefusal:
-    """Decides which requests to refuse at once.
+    """Refuses requests whose expected latency exceeds the time left.
 
     Args:
-        workers: The workers known.
-        rng: Source of the jitter.
+        workers: Directory of workers with their expected latencies.
+        rng: Random number generator for the jitter of retry times.
     """
 
     def __init__(self, workers: WorkerDirectory, rng: random.Random) -> None:
@@ -35,20 +35,20 @@
     def problem(
         self, request_id: str, route: Route, service: str, time_left_s: float
     ) -> Problem | None:
-        """Return the refusal of a request that was sent to no worker yet; ``None`` to send it.
+        """Return the error of a request that cannot be answered in time; ``None`` to send it.
 
         Args:
-            request_id: Its identifier.
-            route: Its route.
-            service: The service that would run it.
-            time_left_s: How long its caller still waits, in seconds.
+            request_id: Identifier of the request, which has not been sent to any worker.
+            route: Route of the request.
+            service: Service that would run it.
+            time_left_s: Time until the caller's deadline, in seconds.
         """
         soonest_s = self._workers.soonest_answer_s(service, route.name)
         if soonest_s is None or soonest_s <= time_left_s:
             return None
-        # By then so much of the queue is done that an answer would come within the target.
+        # By then the queue is short enough for an answer within the target latency.
         needed_s = max(MIN_RETRY_AFTER_S, soonest_s - route.target_latency_s)
         retry_after_s = min(MAX_RETRY_AFTER_S, needed_s * self._rng.uniform(1.0, MAX_JITTER))
         detail = f"{service}: answers take {soonest_s:.2f} s, {time_left_s:.2f} s are left"
-        logging.info("request %s is refused early: %s", request_id, detail)
+        logging.info("request %s refused by load shedding: %s", request_id, detail)
         return Problem(ResultCode.OVERLOADED, detail, request_id, round(retry_after_s, 2))
--- a/src/hollowrack/forwarding/event_stream.py
+++ b/src/hollowrack/forwarding/event_stream.py
@@ -1,4 +1,4 @@
-"""Incremental parser of event streams (``text/event-stream``) with rising integer identifiers."""
+"""Incremental parser of event streams (``text/event-stream``) with numbered events."""
 
 from dataclasses import dataclass
 
@@ -7,18 +7,18 @@
 
 
 class EventStreamError(ValueError):
-    """The bytes are not a stream of numbered events."""
+    """Raised if bytes are not a valid stream of numbered events."""
 
 
 @dataclass(frozen=True)
 class StreamEvent:
-    """One event.
+    """One event of a stream.
 
     Attributes:
-        number: Its identifier.
-        data: Its data lines, joined by line feeds.
-        fields: Its other fields by name.
-        raw: Its bytes, final blank line included.
+        number: Value of its ``id`` field.
+        data: Data lines, joined by line feeds.
+        fields: All other fields by name, in lower case.
+        raw: Encoded event including the final blank line.
     """
 
     number: int
@@ -28,26 +28,26 @@
 
 
 class EventStreamParser:
-    """Cuts a byte stream into whole events."""
+    """Splits a byte stream into complete events."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether bytes of an unfinished event are left."""
+        """Whether the buffer holds an incomplete event."""
         return bool(self._buffer.strip())
 
     def feed(self, chunk: bytes) -> list[StreamEvent]:
-        """Take in bytes and return the events that became whole.
+        """Add bytes to the buffer and return the events that they complete.
 
         Raises:
-            EventStreamError: If an event has no whole number as its identifier.
+            EventStreamError: If an event is too long, is not UTF-8 or has no integer identifier.
         """
         self._buffer += chunk.replace(b"\r\n", b"\n")
         *blocks, self._buffer = self._buffer.split(_SEPARATOR)
         if len(self._buffer) > MAX_EVENT_BYTES:
-            raise EventStreamError("an event is too long")
+            raise EventStreamError("event exceeds the size limit")
         return [_parse(block) for block in blocks if block.strip()]
 
 
@@ -58,7 +58,7 @@
     try:
         lines = block.decode().strip("\n").split("\n")
     except UnicodeDecodeError as error:
-        raise EventStreamError("an event is not UTF-8") from error
+        raise EventStreamError("event is not valid UTF-8") from error
     for line in lines:
         name, _, value = line.partition(":")
         value = value.removeprefix(" ")
@@ -66,10 +66,10 @@
             data.append(value)
         elif name == "id":
             if not value.isdigit():
-                raise EventStreamError("an event identifier is no whole number")
+                raise EventStreamError("event id is not an unsigned integer")
             number = int(value)
         elif name:
             fields[name.lower()] = value
     if number is None:
-        raise EventStreamError("an event has no identifier")
+        raise EventStreamError("event has no id")
     return StreamEvent(number, "\n".join(data), fields, block.strip(b"\n") + _SEPARATOR)
--- a/src/hollowrack/forwarding/faster_place.py
+++ b/src/hollowrack/forwarding/faster_place.py
@@ -1,4 +1,4 @@
-"""A run asks for a place at a faster worker while it goes on at a slower one."""
+"""Migration of a run: waits for a slot at a faster worker while the run continues."""
 
 import asyncio
 from typing import Protocol
@@ -8,48 +8,50 @@
 
 
 class MovePolicy(Protocol):
-    """Decides when a run should go on at a faster worker, and at which."""
+    """Decides when a run should continue at a faster worker, and at which."""
 
     def is_worthwhile(self, worker: Worker, num_events: int) -> bool:
-        """Whether a run that has so many events would end clearly sooner elsewhere."""
+        """Whether a run would finish clearly sooner elsewhere after ``num_events`` events."""
 
     async def acquire_faster(self, worker: Worker, num_events: int) -> Worker:
-        """Wait for a place at a clearly faster worker; the place must be given back."""
+        """Wait for a slot at a clearly faster worker; the caller has to release the slot."""
 
 
 class FasterPlace:
-    """The place that one run waits for, if it waits for one.
+    """Requested or granted slot at a faster worker for one run.
 
     Args:
-        workers: Takes back a place that is not used.
-        policy: When to move; ``None`` for never.
+        workers: Directory of workers, to which an unused slot is released.
+        policy: Decides when to migrate; ``None`` for never.
     """
 
     def __init__(self, workers: WorkerDirectory, policy: MovePolicy | None) -> None:
         self._workers = workers
         self._policy = policy
-        self._waiting: asyncio.Task[Worker] | None = None
+        self._slot_request: asyncio.Task[Worker] | None = None
 
     def look(self, worker: Worker, num_events: int) -> bool:
-        """Ask for a place if that is worthwhile; returns whether there is one now."""
+        """Request a slot if that is worthwhile; return whether one has been granted."""
         if self._policy is None:
             return False
-        if self._waiting is None and self._policy.is_worthwhile(worker, num_events):
-            self._waiting = asyncio.create_task(self._policy.acquire_faster(worker, num_events))
-        return self._waiting is not None and self._waiting.done()
+        if self._slot_request is None and self._policy.is_worthwhile(worker, num_events):
+            self._slot_request = asyncio.create_task(
+                self._policy.acquire_faster(worker, num_events)
+            )
+        return self._slot_request is not None and self._slot_request.done()
 
     def take(self) -> Worker | None:
-        """Return the place if there is one; otherwise the run waits for it no longer."""
-        waiting, self._waiting = self._waiting, None
-        if waiting is None or waiting.cancelled():
+        """Return the worker of the granted slot; otherwise cancel the request for one."""
+        slot_request, self._slot_request = self._slot_request, None
+        if slot_request is None or slot_request.cancelled():
             return None
-        if waiting.done():
-            return waiting.result()
-        waiting.cancel()
+        if slot_request.done():
+            return slot_request.result()
+        slot_request.cancel()
         return None
 
     def close(self) -> None:
-        """Give back a place that the run does not need."""
-        place = self.take()
-        if place is not None:
-            self._workers.end(place)
+        """Cancel the request, or release the slot that was granted."""
+        worker = self.take()
+        if worker is not None:
+            self._workers.end(worker)
--- a/src/hollowrack/forwarding/forwarder.py
+++ b/src/hollowrack/forwarding/forwarder.py
@@ -1,8 +1,7 @@
-"""Forwards one plain request to workers, within its attempts and its time.
+"""Forwards plain requests to workers with retries and hedging.
 
-The states of :mod:`hollowrack.requests.lifecycle` decide what may be told to the caller: "not run"
-only while no worker may have run the request. A request that is not repeatable is never sent again
-after a worker may have run it.
+As in :mod:`hollowrack.requests.lifecycle`, a request is reported as not run only if no worker can
+have run it. A request that is not idempotent is never sent again after a worker may have run it.
 """
 
 import asyncio
@@ -42,12 +41,12 @@
 
 @dataclass(frozen=True)
 class ForwardRequest:
-    """A request with its route and the time its caller gives it.
+    """A request with its route and deadline.
 
     Attributes:
-        call: What goes to the worker.
-        route: Its route.
-        deadline_s: When the caller stops waiting, on the loop's clock; ``None`` if not told.
+        call: Request as it is sent to workers.
+        route: Route of the request.
+        deadline_s: Deadline of the caller, on the loop's clock; ``None`` if it set none.
     """
 
     call: BackEndCall
@@ -57,7 +56,11 @@
 
 @dataclass(frozen=True)
 class WholeAnswer:
-    """A worker's whole answer."""
+    """Complete answer of a worker.
+
+    Attributes:
+        signature: The worker's signature of the answer; ``None`` if it has none.
+    """
 
     status: int
     headers: Headers
@@ -69,29 +72,32 @@
 
 
 def end_of_request_s(request: ForwardRequest) -> float:
-    """When a request must have its final answer, on the loop's clock."""
-    ends = [now_s() + 3600.0]
+    """Return the time by which a request must be answered, on the loop's clock.
+
+    This is the earliest of the caller's deadline, the route's timeout and one hour from now.
+    """
+    deadlines_s = [now_s() + 3600.0]
     if request.deadline_s is not None:
-        ends.append(request.deadline_s)
+        deadlines_s.append(request.deadline_s)
     if request.route.timeout_s is not None:
-        ends.append(now_s() + request.route.timeout_s)
-    return min(ends)
+        deadlines_s.append(now_s() + request.route.timeout_s)
+    return min(deadlines_s)
 
 
 class Forwarder:
-    """Forwards requests with plain answers.
+    """Forwards requests with plain (non-streaming) answers.
 
     Args:
-        routes: The routes in force.
-        workers: The workers known.
-        back_ends: Sends requests to workers.
-        usage: Counts what workers begin.
-        quarantine: Keeps requests that end their workers from further workers.
-        rng: Source of all random choices.
+        routes: Current routes.
+        workers: Directory of workers.
+        back_ends: Client that sends requests to workers.
+        usage: Meter of the requests that workers have started.
+        quarantine: Blocks requests that are suspected of crashing workers.
+        rng: Random number generator for jitter.
 
     Attributes:
-        hedging: Decides on second attempts.
-        call_places: Places for calls of the system's own.
+        hedging: Policy of hedged attempts.
+        call_places: Limits this node's own calls to shared workers.
     """
 
     def __init__(
@@ -113,7 +119,7 @@
         self.call_places = CallPlaces(routes, workers)
 
     async def forward(self, request: ForwardRequest) -> ForwardOutcome:
-        """Return a worker's answer, or the problem that stands in its place."""
+        """Return a worker's answer, or the error for the caller."""
         end_s = end_of_request_s(request)
         service = self._routes.choose_service(request.route)
         refused = self._early_refusal.problem(
@@ -141,21 +147,21 @@
 
 
 class _PlainAttempts:
-    """Makes the attempts of one request; see :class:`AttemptSource`.
+    """Makes the attempts of one request; implements :class:`AttemptSource`.
 
     Args:
-        workers: The workers known.
-        back_ends: Sends requests to workers.
-        usage: Counts what workers begin.
-        quarantine: Keeps requests that end their workers from further workers.
-        hedging: Decides on second attempts.
-        request: The request.
-        service: The service that runs it.
-        end_s: When it has to be over, on the loop's clock.
+        workers: Directory of workers.
+        back_ends: Client that sends requests to workers.
+        usage: Meter of the requests that workers have started.
+        quarantine: Blocks requests that are suspected of crashing workers.
+        hedging: Policy of hedged attempts.
+        request: Request to forward.
+        service: Name of the service that runs it.
+        end_s: Deadline of the request, on the loop's clock.
 
     Attributes:
-        history: What has become of the attempts.
-        failed_answer: The latest answer that says that the worker failed.
+        history: Record of the attempts.
+        failed_answer: Latest answer with a server error; ``None`` if there was none.
     """
 
     def __init__(
@@ -184,7 +190,7 @@
         self.failed_answer: WholeAnswer | None = None
 
     def next_worker(self) -> Worker | None:
-        """Return the worker of the next attempt; ``None`` if there may be none."""
+        """Return the worker of the next attempt; ``None`` if no further attempt is allowed."""
         if not self._may_go_on():
             return None
         worker = self._workers.choose(self._service, self.history.tried)
@@ -193,30 +199,30 @@
         return worker
 
     def spare_worker(self, late: Worker) -> Worker | None:
-        """Return a worker that may run the request beside or instead of a late one."""
+        """Return a worker that may run the request in addition to, or instead of, a late one."""
         if self._route.kind is not RouteKind.SAFE or not self._may_go_on():
             return None
         return self._workers.choose_sooner(late, self.history.tried)
 
     def take_hedge(self) -> bool:
-        """Whether the budget allows an attempt beside a late one; spends it."""
+        """Take one hedged attempt from the budget; return whether the budget allowed it."""
         is_allowed = self._hedging.budget.take_retry()
-        decision = "begins" if is_allowed else "is beyond the budget"
-        logging.info("request %s: a second attempt %s", self._call.request_id, decision)
+        decision = "started" if is_allowed else "denied, budget exhausted"
+        logging.info("request %s: hedged attempt %s", self._call.request_id, decision)
         return is_allowed
 
     def _may_go_on(self) -> bool:
-        # Asked before each worker: the request may have ended others at other nodes meanwhile.
+        # Checked before each attempt: other nodes may have reported crashes in the meantime.
         self._verdict = self._quarantine.verdict(self._fingerprint)
         return self._verdict is None and self.history.may_go_on()
 
     def late_after_s(self) -> float:
-        """How long an attempt that begins now may take until it is late, in seconds."""
+        """Return the time after which an attempt that starts now is late, in seconds."""
         time_left_s = self._end_s - now_s()
         return self._hedging.delay_s(self._service, self._route.target_latency_s, time_left_s)
 
     def note_late(self, worker: Worker, seconds: float) -> None:
-        """An attempt has not ended within the time of nearly all others."""
+        """Record that an attempt is late after so many seconds."""
         logging.info(
             "request %s: worker %s is late after %.3f s",
             self._call.request_id,
@@ -226,22 +232,22 @@
         self._workers.loads.note_late(worker, self._route.name, seconds)
 
     def note_given_up(self, worker: Worker) -> None:
-        """A late attempt is cut off for another one."""
+        """Record that a late attempt is cancelled in favour of another worker."""
         self._workers.note_failure(worker)
         self.history.failed(worker, "silent")
 
     async def attempt(self, worker: Worker) -> WholeAnswer | None:
-        """Try one worker; ``None`` if the request needs another one."""
+        """Try one worker; ``None`` if another worker has to be tried."""
         self._workers.begin(worker)
         self.history.begin(worker)
         sent_s = now_s()
-        num_turns = self._workers.num_turns(worker)
-        begun_s = self._usage.time_s()
-        may_have_begun = True
+        queueing_factor = self._workers.num_turns(worker)
+        usage_start_s = self._usage.time_s()
+        may_have_started = True
         try:
             answer = await self._exchange(worker)
         except NotRunError as error:
-            may_have_begun = False
+            may_have_started = False
             self._workers.note_not_run(worker, error.reason)
             self.history.did_not_run(worker, error.reason)
             if error.reason is NotRunReason.BUSY:
@@ -254,22 +260,22 @@
             return None
         finally:
             self._workers.end(worker)
-            if may_have_begun:
-                # A worker that gave no answer has most likely begun: it had taken the request.
-                self._usage.note_begun(self._call.tenant, begun_s)
+            if may_have_started:
+                # A worker that accepted the request and did not answer has most likely started it.
+                self._usage.note_begun(self._call.tenant, usage_start_s)
         if answer.status < FIRST_SERVER_ERROR:
             seconds = now_s() - sent_s
             self._hedging.note_answer(self._service, seconds)
-            # This node's own requests before it say nothing of the worker's speed.
-            self._note_good(worker, answer, seconds / num_turns)
+            # Corrects for the wait behind this node's own requests.
+            self._record_good_answer(worker, answer, seconds / queueing_factor)
             return answer
         self.failed_answer = answer
         self.history.failed(worker, f"status {answer.status}")
         return None
 
-    def _note_good(self, worker: Worker, answer: WholeAnswer, pace_s: float) -> None:
+    def _record_good_answer(self, worker: Worker, answer: WholeAnswer, latency_s: float) -> None:
         self._workers.note_success(worker)
-        self._workers.note_pace(worker, pace_s, self._route.name)
+        self._workers.note_pace(worker, latency_s, self._route.name)
         if answer.status in HTTP_SUCCESS:
             self._quarantine.note_good(self._fingerprint)
 
@@ -291,7 +297,7 @@
                 opened.abort()
 
     def final_failure(self) -> ForwardOutcome:
-        """What the caller is told when no worker may be tried any more."""
+        """Return the answer or error for the caller when no further worker may be tried."""
         if self.failed_answer is not None:
             return self.failed_answer
         if self._verdict is not None and not self.history.ran_at:
--- a/src/hollowrack/forwarding/hedged_run.py
+++ b/src/hollowrack/forwarding/hedged_run.py
@@ -1,4 +1,4 @@
-"""Runs the attempts of one request: the next one after a failure, or beside one that is late."""
+"""Runs the attempts of one request: retries after failures and hedged attempts when one is late."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,120 +14,120 @@
 
 
 class AttemptSource(Protocol[Answer_co]):
-    """What one request's attempts are made of."""
+    """Makes the attempts of one request and decides which are allowed."""
 
     def next_worker(self) -> Worker | None:
-        """Return the worker of the next attempt; ``None`` if there may be none."""
+        """Return the worker of the next attempt; ``None`` if no further attempt is allowed."""
 
     def spare_worker(self, late: Worker) -> Worker | None:
-        """Return a worker that may run the request beside or instead of a late one.
+        """Return a worker that may run the request in addition to, or instead of, a late one.
 
-        It has room, and should answer sooner than the late one.
+        The worker has a free slot and is expected to answer sooner; ``None`` if there is none.
         """
 
     def take_hedge(self) -> bool:
-        """Whether the budget allows an attempt beside a late one; spends it."""
+        """Take one hedged attempt from the budget; returns whether the budget allowed it."""
 
     async def attempt(self, worker: Worker) -> Answer_co | None:
-        """Try one worker; ``None`` if the request needs another one."""
+        """Try one worker; ``None`` if another worker has to be tried."""
 
     def late_after_s(self) -> float:
-        """How long an attempt that begins now may take until it is late, in seconds."""
+        """Return the time after which an attempt that starts now is late, in seconds."""
 
     def note_late(self, worker: Worker, seconds: float) -> None:
-        """An attempt has not ended within the time of nearly all others."""
+        """Record that an attempt is late after so many seconds."""
 
     def note_given_up(self, worker: Worker) -> None:
-        """A late attempt is cut off for another one."""
+        """Record that a late attempt is cancelled in favour of another worker."""
 
 
 @dataclass
 class _Attempt(Generic[Answer]):
     worker: Worker
     task: asyncio.Task[Answer | None]
-    begun_s: float
+    started_s: float
     is_late: bool = False
 
 
 class HedgedRun(Generic[Answer]):
-    """The attempts of one request. At most one of their answers is returned.
+    """Runs the attempts of one request and returns at most one of their answers.
 
     Args:
         source: Makes the attempts.
-        end_s: When the request has to be over, on the loop's clock.
+        end_s: Deadline of the request, on the loop's clock.
     """
 
     def __init__(self, source: AttemptSource[Answer], end_s: float) -> None:
         self._source = source
         self._end_s = end_s
         self._running: list[_Attempt[Answer]] = []
-        self._next_look_s: float | None = None
+        self._next_check_s: float | None = None
 
     async def first_answer(self) -> Answer | None:
-        """Return the first whole answer; ``None`` if no further worker may be tried.
+        """Return the first complete answer; ``None`` if no further worker may be tried.
 
-        Attempts that still run are cancelled, also if this is.
+        Cancels the attempts that are still running, also if the call itself is cancelled.
         """
         try:
-            while self._running or self._begin_next():
+            while self._running or self._start_next():
                 await self._wait()
-                answer = self._take_ended()
+                answer = self._remove_ended()
                 if answer is not None:
                     return answer
-                if self._running and self._is_time_to_look():
-                    await self._look()
+                if self._running and self._is_check_due():
+                    await self._check_latest()
             return None
         finally:
             await cancel_all(*(attempt.task for attempt in self._running))
 
-    def _begin_next(self) -> bool:
+    def _start_next(self) -> bool:
         worker = self._source.next_worker()
         if worker is None:
             return False
-        self._begin(worker)
+        self._start(worker)
         return True
 
-    def _begin(self, worker: Worker) -> None:
+    def _start(self, worker: Worker) -> None:
         task = asyncio.create_task(self._source.attempt(worker))
         self._running.append(_Attempt(worker, task, now_s()))
-        self._next_look_s = now_s() + self._source.late_after_s()
+        self._next_check_s = now_s() + self._source.late_after_s()
 
     async def _wait(self) -> None:
-        """Wait until an attempt ends or the latest one is late."""
-        timeout_s = None if self._next_look_s is None else max(0.0, self._next_look_s - now_s())
+        """Wait until an attempt ends or the next check of the latest attempt is due."""
+        timeout_s = None if self._next_check_s is None else max(0.0, self._next_check_s - now_s())
         tasks = [attempt.task for attempt in self._running]
         await asyncio.wait(tasks, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
 
-    def _take_ended(self) -> Answer | None:
-        """Take out the attempts that have ended; returns the answer of the earliest, if any."""
+    def _remove_ended(self) -> Answer | None:
+        """Remove the attempts that have ended; return the answer of the earliest, if any."""
         ended = [attempt for attempt in self._running if attempt.task.done()]
         self._running = [attempt for attempt in self._running if not attempt.task.done()]
         answers = [attempt.task.result() for attempt in ended]
         return next((answer for answer in answers if answer is not None), None)
 
-    def _is_time_to_look(self) -> bool:
-        return self._next_look_s is not None and now_s() >= self._next_look_s
+    def _is_check_due(self) -> bool:
+        return self._next_check_s is not None and now_s() >= self._next_check_s
 
-    async def _look(self) -> None:
+    async def _check_latest(self) -> None:
         latest = self._running[-1]
         if not latest.is_late:
             latest.is_late = True
-            self._source.note_late(latest.worker, now_s() - latest.begun_s)
+            self._source.note_late(latest.worker, now_s() - latest.started_s)
         spare = self._source.spare_worker(latest.worker)
         if spare is not None and self._source.take_hedge():
-            self._begin(spare)
+            self._start(spare)
             return
-        give_up_s = latest.begun_s + GIVE_UP_SHARE * (self._end_s - latest.begun_s)
+        give_up_s = latest.started_s + GIVE_UP_SHARE * (self._end_s - latest.started_s)
         if now_s() < give_up_s:
-            self._next_look_s = give_up_s
+            self._next_check_s = give_up_s
             return
-        self._next_look_s = None
+        self._next_check_s = None
         if spare is not None and len(self._running) == 1:
             await self._replace(latest, spare)
 
     async def _replace(self, attempt: _Attempt[Answer], worker: Worker) -> None:
-        """Cut an attempt off for another worker."""
+        """Cancel an attempt and start one at another worker."""
         self._source.note_given_up(attempt.worker)
         self._running.remove(attempt)
         await cancel_all(attempt.task)
-        self._begin(worker)
+        self._start(worker)
--- a/src/hollowrack/forwarding/hedging.py
+++ b/src/hollowrack/forwarding/hedging.py
@@ -1,6 +1,7 @@
-"""When a second worker gets a request whose first one is late: pure decisions.
+"""Hedging policy: when a late request is sent to a second worker.
 
-For this load: workers of one service that differ in speed, turn slow for seconds or never answer.
+Designed for workers of one service that differ in speed, become slow for some seconds or never
+answer.
 """
 
 from collections import deque
@@ -8,55 +9,54 @@
 
 from hollowrack.requests.budget import RetryBudget
 
-# Callers notice the slowest twentieth; a second attempt for more of them is load, not help.
+# Quantile of the latencies of a service from which on an attempt is late.
 LATE_QUANTILE = 0.95
-# Enough for three answers beyond that quantile, and few enough to follow a change within seconds.
+# Latencies kept per service.
 NUM_ANSWERS_KEPT = 64
-# Fewer answers say too little. A node with one request a second knows enough within seconds.
+# Latencies needed before the quantile is used.
 MIN_ANSWERS_KNOWN = 8
-# Second attempts as a share of requests: what workers under full load still have room for.
+# Hedged attempts as a fraction of requests; bounds the additional load.
 HEDGE_SHARE = 0.1
-# So many at once beyond that share: a node with few requests can still act for one of them.
+# Burst size of the hedge budget, so that a node with few requests can hedge at all.
 MAX_SAVED_HEDGES = 3.0
-# While nothing is known, a request is late after this many targets, and not sooner than this.
+# Delay until there are enough latencies: a multiple of the target latency, and its lower bound.
 UNKNOWN_DELAY_IN_TARGETS = 1.5
 MIN_UNKNOWN_DELAY_S = 0.25
-# An attempt that has used this share of the time is given up if none may run beside it: what is
-# left suffices for another worker.
+# Fraction of the remaining time after which a late attempt is replaced if it cannot be hedged.
 GIVE_UP_SHARE = 0.5
 
 
 class HedgePolicy:
-    """Decides for one node from when on a request is late, and whether a second attempt may begin.
+    """Decides when an attempt is late and whether it may be hedged.
 
     Attributes:
-        budget: Bounds second attempts.
+        budget: Limits hedged attempts to a fraction of this node's requests.
     """
 
     def __init__(self) -> None:
         self.budget = RetryBudget(HEDGE_SHARE, MAX_SAVED_HEDGES)
-        self._answer_times_s: dict[str, deque[float]] = {}
+        self._latencies_s: dict[str, deque[float]] = {}
 
     def note_answer(self, service: str, seconds: float) -> None:
-        """An attempt at a worker of a service took this long for its whole answer, in seconds."""
-        times_s = self._answer_times_s.setdefault(service, deque(maxlen=NUM_ANSWERS_KEPT))
-        times_s.append(seconds)
+        """Record the latency of a complete answer from a worker of a service, in seconds."""
+        latencies_s = self._latencies_s.setdefault(service, deque(maxlen=NUM_ANSWERS_KEPT))
+        latencies_s.append(seconds)
 
     def delay_s(self, service: str, target_latency_s: float, time_left_s: float) -> float:
-        """How long an attempt may take until it is late, in seconds.
+        """Return the time after which an attempt is late, in seconds.
 
         Args:
-            service: The service of its worker.
-            target_latency_s: Time within which the answer is worth most.
-            time_left_s: Time the request has left when the attempt begins.
+            service: Name of the service of its worker.
+            target_latency_s: Latency objective of the route, in seconds.
+            time_left_s: Time between the start of the attempt and the deadline, in seconds.
         """
-        times_s = self._answer_times_s.get(service, ())
-        if len(times_s) < MIN_ANSWERS_KNOWN:
+        latencies_s = self._latencies_s.get(service, ())
+        if len(latencies_s) < MIN_ANSWERS_KNOWN:
             delay_s = max(MIN_UNKNOWN_DELAY_S, UNKNOWN_DELAY_IN_TARGETS * target_latency_s)
         else:
-            delay_s = max(target_latency_s, _quantile(sorted(times_s), LATE_QUANTILE))
+            delay_s = max(target_latency_s, _quantile(sorted(latencies_s), LATE_QUANTILE))
         return min(delay_s, GIVE_UP_SHARE * time_left_s)
 
 
-def _quantile(ordered: list[float], share: float) -> float:
-    return ordered[ceil(share * len(ordered)) - 1]
+def _quantile(values: list[float], fraction: float) -> float:
+    return values[ceil(fraction * len(values)) - 1]
--- a/src/hollowrack/forwarding/load_log.py
+++ b/src/hollowrack/forwarding/load_log.py
@@ -1,4 +1,4 @@
-"""Tells once a second what waits, runs and is refused at the workers of each service."""
+"""Periodic log of waiting, running and refused runs by service."""
 
 import asyncio
 from collections import Counter
@@ -8,25 +8,25 @@
 from hollowrack.forwarding.back_end import NotRunReason
 from hollowrack.forwarding.dispatch_queue import DispatchQueue, WaitingLoad
 
-# Often enough to see a queue grow before what is in it is due, a few seconds later.
+# Short compared with the few seconds within which results are due.
 INTERVAL_S = 1.0
 
-_NOTHING_WAITS = WaitingLoad(0, 0.0)
+_NO_LOAD = WaitingLoad(0, 0.0)
 
 
 class LoadLog:
     """Logs the load of the services that this node has work for.
 
     Args:
-        queue: Where the work waits.
+        queue: Queue whose runs are counted.
     """
 
     def __init__(self, queue: DispatchQueue) -> None:
         self._queue = queue
-        self._told_refusals: Counter[tuple[str, NotRunReason]] = Counter()
+        self._logged_refusals: Counter[tuple[str, NotRunReason]] = Counter()
 
     async def run(self) -> None:
-        """Log until cancelled."""
+        """Log the load periodically until cancelled."""
         while True:
             await asyncio.sleep(INTERVAL_S)
             for line in self.next_lines():
@@ -36,13 +36,13 @@
         """Return a line for each service with work, or with refusals since the last call."""
         statistics = self._queue.statistics
         waiting = self._queue.waiting_by_service()
-        refusals = statistics.num_refusals - self._told_refusals
-        self._told_refusals = statistics.num_refusals.copy()
+        refusals = statistics.num_refusals - self._logged_refusals
+        self._logged_refusals = statistics.num_refusals.copy()
         running = {service for service, count in statistics.num_running.items() if count}
         refused = {service for service, _ in refusals}
         lines = []
         for service in sorted(waiting.keys() | running | refused):
-            load = waiting.get(service, _NOTHING_WAITS)
+            load = waiting.get(service, _NO_LOAD)
             lines.append(
                 f"service {service}: {load.num_waiting} runs wait, the oldest for "
                 f"{load.oldest_wait_s:.2f} s, {statistics.num_running[service]} run, "
--- a/src/hollowrack/forwarding/patience.py
+++ b/src/hollowrack/forwarding/patience.py
@@ -1,4 +1,4 @@
-"""How long to wait for the first sign of an answer, from how long answers took lately."""
+"""Adaptive timeout for the first event of an answer."""
 
 from collections import deque
 
@@ -8,29 +8,28 @@
 
 
 class FirstEventPatience:
-    """Patience as a multiple of the longest of the latest waits.
+    """Timeout that is a multiple of the longest recent latency.
 
-    A worker that has lost a request never answers; waiting for it longer than any sound worker has
-    taken lately only delays the request.
+    Bounds the delay that is caused by a worker which has lost a request and never answers.
 
     Args:
-        min_s: Least patience, in seconds.
-        max_s: Most patience, and the patience while little is known, in seconds.
+        min_s: Lower bound of the timeout, in seconds.
+        max_s: Upper bound of the timeout, also used until there are enough samples, in seconds.
     """
 
     def __init__(self, min_s: float, max_s: float) -> None:
         self._min_s = min_s
         self._max_s = max_s
-        self._latest_s: deque[float] = deque(maxlen=NUM_KEPT)
+        self._latencies_s: deque[float] = deque(maxlen=NUM_KEPT)
 
-    def note(self, waited_s: float) -> None:
-        """A first event came after this wait, in seconds."""
-        self._latest_s.append(waited_s)
+    def note(self, latency_s: float) -> None:
+        """Record the latency of a first event, in seconds."""
+        self._latencies_s.append(latency_s)
 
     @property
     def value_s(self) -> float:
-        """The patience, in seconds."""
-        if len(self._latest_s) < MIN_NUM_KNOWN:
+        """The current timeout, in seconds."""
+        if len(self._latencies_s) < MIN_NUM_KNOWN:
             return self._max_s
-        worst_s = max(self._latest_s)
-        return min(self._max_s, max(self._min_s, PATIENCE_IN_WORST_CASES * worst_s))
+        longest_s = max(self._latencies_s)
+        return min(self._max_s, max(self._min_s, PATIENCE_IN_WORST_CASES * longest_s))
--- a/src/hollowrack/forwarding/resumable_run.py
+++ b/src/hollowrack/forwarding/resumable_run.py
@@ -1,4 +1,4 @@
-"""One generation as a sequence of numbered events, continued at other workers when one fails."""
+"""Resumable run: a stream of numbered events that continues at another worker after a failure."""
 
 import asyncio
 import contextlib
@@ -32,7 +32,7 @@
 HTTP_UNPROCESSABLE = 422
 FIRST_SERVER_ERROR = 500
 MIN_PAUSE_S = 0.02
-# A run moves to faster workers and away from much slower ones, but not again and again.
+# Bounds on how often a run migrates to a faster worker or leaves a much slower one.
 MIN_EVENTS_BEFORE_MOVE = 6
 EVENTS_BETWEEN_LOOKS = 3
 MAX_MOVES = 3
@@ -40,11 +40,11 @@
 
 
 class _SlowWorkerError(Exception):
-    """The run is better off elsewhere."""
+    """Raised to continue the run at a faster worker."""
 
 
 class RunEnd(Enum):
-    """Why a run ended without its last event."""
+    """Reason why a run ended without its last event."""
 
     REJECTED = "a worker says that it can never be done"
     FAILED_TOO_OFTEN = "workers failed it too often"
@@ -52,7 +52,7 @@
 
 
 class RunEndedError(Exception):
-    """The run is over for good, with the answer of the last worker."""
+    """Raised if a run ends without its last event."""
 
     def __init__(self, end: RunEnd) -> None:
         super().__init__(end.value)
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class VersionedEvent:
-    """An event and the weight version that produced it; ``None`` if the worker did not tell."""
+    """An event and the weight version that produced it; ``None`` if it was not reported."""
 
     event: StreamEvent
     weight_version: int | None
@@ -69,15 +69,15 @@
 
 @dataclass(frozen=True)
 class RunLimits:
-    """Bounds of one run.
+    """Limits of one run.
 
     Attributes:
-        max_failures: Most answers that say the run failed.
-        patience: Longest wait for the head of an answer.
-        silence_s: Longest pause inside an answer, in seconds.
-        time_left_s: Time handed to a worker, in seconds.
-        max_workers: Most workers that the run may begin at, without those that are gone; ``None``
-            for any number.
+        max_failures: Number of answers with an internal server error after which the run fails.
+        patience: Timeout for the head of an answer.
+        silence_s: Maximum time without data inside an answer, in seconds.
+        time_left_s: Time sent to workers as the caller's remaining time, in seconds.
+        max_workers: Maximum number of current incarnations that the run may start at; ``None`` for
+            no limit.
     """
 
     max_failures: int
@@ -87,28 +87,34 @@
     max_workers: int | None = None
 
 
-# The lives to avoid, and a further condition on the worker, if there is one.
+# Arguments: incarnations to avoid, and a condition on the worker or None.
 AcquireWorker = Callable[[frozenset[WorkerLife], Eligible | None], Awaitable[Worker]]
 ReadVersion = Callable[[StreamEvent], int | None]
 AcceptVersion = Callable[[int | None], bool]
 
 
 class ResumableRun:
-    """Runs one call until its last event.
+    """Runs one call to its last event, at several workers in turn if necessary.
 
     Args:
-        call: The call.
-        back_ends: Sends it.
-        workers: Takes evidence about workers.
-        acquire: Returns a worker with a place for the run, avoiding the given ones, of those that
-            are eligible; the place is given back through ``workers.end``.
-        read_version: Reads the weight version that an event announces.
-        accepts_version: Whether an answer that begins under a version may be used.
-        limits: Bounds.
-        quarantine: Keeps calls that end their workers from further workers.
-        after_event: Begin behind this event; ``None`` for the beginning.
-        moves: When the run should go on at a faster worker; ``None`` for never.
-        waits: Follows what the run waits for; ``None`` if nobody wants to know.
+        call: Request that starts the run.
+        back_ends: Client that sends requests to workers.
+        workers: Directory of workers, which records their successes and failures.
+        acquire: Reserves a slot for the run and returns its worker, avoiding the given incarnations
+            if possible; the slot is released through ``workers.end``.
+        read_version: Reads the weight version from an event; ``None`` if the event has none.
+        accepts_version: Whether an answer that starts with a weight version may be used.
+        limits: Limits of the run.
+        quarantine: Blocks calls that are suspected of crashing workers.
+        after_event: Number of the event after which the run starts; ``None`` for the first event.
+        moves: Decides when the run migrates to a faster worker; ``None`` for never.
+        waits: Record of the waits of the run; ``None`` for a record of its own.
+
+    Attributes:
+        head: Head of the first answer; ``None`` before it.
+        num_attempts: Number of attempts so far.
+        waited_for_places_s: Total time spent waiting for slots, in seconds.
+        waits: Record of the waits of the run.
     """
 
     def __init__(
@@ -140,11 +146,11 @@
         self._fingerprint = fingerprint_of(call)
         self._last_number = after_event
         self._num_failures = 0
-        self._num_moves = 0
-        self._num_escapes = 0
+        self._num_migrations = 0
+        self._num_slow_worker_exits = 0
         self._avoided: frozenset[WorkerLife] = frozenset()
-        self._faster = FasterPlace(workers, moves)
-        self._places = RunPlaces(
+        self._migration_slot = FasterPlace(workers, moves)
+        self._retry_policy = RunPlaces(
             limits.max_failures,
             limits.max_workers,
             workers.knows,
@@ -155,31 +161,31 @@
         """Iterate over all events in order.
 
         Raises:
-            RunEndedError: If the run cannot be finished.
+            RunEndedError: If the run cannot be completed.
         """
-        is_whole = False
+        is_complete = False
         try:
             async with contextlib.aclosing(self._attempts()) as events:
                 async for event in events:
                     yield event
-            is_whole = True
+            is_complete = True
         finally:
-            self._faster.close()
-            if not is_whole:
+            self._migration_slot.close()
+            if not is_complete:
                 self._quarantine.note_left(self._fingerprint)
 
     async def _attempts(self) -> AsyncGenerator[VersionedEvent]:
         while True:
             waited_before_s = self.waited_for_places_s
-            worker = await self._next_allowed_place()
+            worker = await self._next_allowed_worker()
             self.num_attempts += 1
             self.waits.note_begin(worker.life, self.waited_for_places_s - waited_before_s)
-            is_fruitless = True
+            has_no_event = True
             try:
                 async with contextlib.aclosing(self._events_of(worker)) as events:
                     async for event in events:
-                        is_fruitless = False
-                        self._places.note_progress()
+                        has_no_event = False
+                        self._retry_policy.note_progress()
                         yield event
                 self._workers.note_success(worker)
                 self._quarantine.note_good(self._fingerprint)
@@ -188,7 +194,7 @@
                 self._workers.note_not_run(worker, error.reason)
                 self.waits.note_not_run(error.reason)
                 if error.reason is NotRunReason.UNREACHABLE:
-                    self._places.note_unreachable(worker)
+                    self._retry_policy.note_unreachable(worker)
             except _SlowWorkerError:
                 logging.info(
                     "run %s: leaves slower worker %s after event %s",
@@ -198,9 +204,9 @@
                 )
             except (BrokenAnswerError, EventStreamError, TimeoutError) as error:
                 self._workers.note_failure(worker)
-                self._places.note_begun(worker)
-                if is_fruitless:
-                    self._places.note_fruitless(worker)
+                self._retry_policy.note_begun(worker)
+                if has_no_event:
+                    self._retry_policy.note_fruitless(worker)
                 logging.info(
                     "run %s: worker %s: %s after event %s",
                     self._call.request_id,
@@ -214,29 +220,28 @@
                     )
             finally:
                 self.waits.note_end()
-                self._leave(worker)
+                self._release(worker)
             self._avoided = frozenset({worker.life})
             await asyncio.sleep(MIN_PAUSE_S)
 
-    async def _next_allowed_place(self) -> Worker:
-        """A place where the run may begin.
+    async def _next_allowed_worker(self) -> Worker:
+        """Wait for a slot at a worker where the quarantine allows the run.
 
         Raises:
-            RunEndedError: If too many workers have ended under the call. Without this a run would
-                go from one worker that it ends to the next for ever.
+            RunEndedError: If the call is quarantined because too many workers crashed under it.
         """
         while True:
             self._check_quarantine()
-            worker = await self._next_place()
-            places = self._quarantine.places
-            # Others may have been placed there since the place was chosen.
-            if self._is_allowed() and places.allows(self._fingerprint, worker.life):
-                places.begin(self._fingerprint, worker.life)
+            worker = await self._next_worker()
+            placement = self._quarantine.places
+            # The quarantine may have changed while the run waited for the slot.
+            if self._is_allowed() and placement.allows(self._fingerprint, worker.life):
+                placement.begin(self._fingerprint, worker.life)
                 return worker
             self._workers.end(worker)
             await asyncio.sleep(MIN_PAUSE_S)
 
-    def _leave(self, worker: Worker) -> None:
+    def _release(self, worker: Worker) -> None:
         self._quarantine.places.end(self._fingerprint, worker.life)
         self._workers.end(worker)
 
@@ -247,21 +252,21 @@
         if not self._is_allowed():
             raise RunEndedError(RunEnd.QUARANTINED)
 
-    async def _next_place(self) -> Worker:
-        """The faster place that the run has asked for, or else the first that is free."""
-        faster = self._faster.take()
-        if faster is not None:
-            if self._may_begin(faster):
-                return faster
-            self._workers.end(faster)
-        began_waiting_s = now_s()
-        condition = self._may_begin if self._places.are_restricted else None
+    async def _next_worker(self) -> Worker:
+        """Return the worker of a granted migration slot, or wait for a slot in the queue."""
+        migrated = self._migration_slot.take()
+        if migrated is not None:
+            if self._may_begin(migrated):
+                return migrated
+            self._workers.end(migrated)
+        wait_start_s = now_s()
+        condition = self._may_begin if self._retry_policy.are_restricted else None
         worker = await self._acquire(self._avoided, condition)
-        self.waited_for_places_s += now_s() - began_waiting_s
+        self.waited_for_places_s += now_s() - wait_start_s
         return worker
 
     def _may_begin(self, worker: Worker) -> bool:
-        return self._places.may_begin(worker)
+        return self._retry_policy.may_begin(worker)
 
     async def _events_of(self, worker: Worker) -> AsyncGenerator[VersionedEvent]:
         answer: OpenAnswer | None = None
@@ -272,13 +277,13 @@
                     worker, self._call, self._limits.time_left_s, self._last_number
                 )
             self._limits.patience.note(now_s() - sent_s)
-            self._places.note_begun(worker)
+            self._retry_policy.note_begun(worker)
             self._check_status(answer)
             if not self._accepts_version(answer.weight_version):
                 raise NotRunError(NotRunReason.BUSY)
             if self.head is None:
                 self.head = answer
-            async with contextlib.aclosing(self._whole_events(worker, answer)) as events:
+            async with contextlib.aclosing(self._read_events(worker, answer)) as events:
                 async for event in events:
                     yield event
         finally:
@@ -296,12 +301,12 @@
                 raise RunEndedError(RunEnd.FAILED_TOO_OFTEN)
         raise BrokenAnswerError(f"status {answer.status}")
 
-    async def _whole_events(
+    async def _read_events(
         self, worker: Worker, answer: OpenAnswer
     ) -> AsyncGenerator[VersionedEvent]:
         parser = EventStreamParser()
         num_events = 0
-        next_look = MIN_EVENTS_BEFORE_MOVE
+        next_check = MIN_EVENTS_BEFORE_MOVE
         last_s = now_s()
         version = answer.weight_version
         chunks = answer.chunks()
@@ -311,34 +316,36 @@
                     chunk = await anext(chunks)
             except StopAsyncIteration:
                 break
-            whole = parser.feed(chunk)
-            if whole:
+            completed = parser.feed(chunk)
+            if completed:
                 self.waits.note_event()
-                self._workers.note_pace(worker, (now_s() - last_s) / len(whole))
+                self._workers.note_pace(worker, (now_s() - last_s) / len(completed))
                 last_s = now_s()
-                num_events += len(whole)
-            for event in whole:
+                num_events += len(completed)
+            for event in completed:
                 if self._last_number is not None and event.number != self._last_number + 1:
                     raise EventStreamError(f"event {event.number} is out of order")
                 announced = self._read_version(event)
                 version = announced if announced is not None else version
                 self._last_number = event.number
                 yield VersionedEvent(event, version)
-            if num_events >= next_look:
-                next_look = num_events + EVENTS_BETWEEN_LOOKS
-                if self._should_move(worker):
+            if num_events >= next_check:
+                next_check = num_events + EVENTS_BETWEEN_LOOKS
+                if self._should_leave(worker):
                     raise _SlowWorkerError
         if parser.has_partial_event:
             raise BrokenAnswerError("the answer ends inside an event")
 
-    def _should_move(self, worker: Worker) -> bool:
-        if not self._places.may_leave(worker):
+    def _should_leave(self, worker: Worker) -> bool:
+        if not self._retry_policy.may_leave(worker):
             return False
-        if self._num_moves < MAX_MOVES and self._faster.look(worker, self._last_number or 0):
-            self._num_moves += 1
+        if self._num_migrations < MAX_MOVES and self._migration_slot.look(
+            worker, self._last_number or 0
+        ):
+            self._num_migrations += 1
             return True
-        # Counted apart: a run that has moved for little must still get away from such a worker.
-        if self._num_escapes < MAX_ESCAPES and self._workers.is_much_slower(worker):
-            self._num_escapes += 1
+        # Counted separately, so that earlier migrations never keep a run at a much slower worker.
+        if self._num_slow_worker_exits < MAX_ESCAPES and self._workers.is_much_slower(worker):
+            self._num_slow_worker_exits += 1
             return True
         return False
--- a/src/hollowrack/forwarding/stream_forwarder.py
+++ b/src/hollowrack/forwarding/stream_forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards requests whose answers are streams of events."""
+"""Forwards requests that are answered with streams of events."""
 
 import contextlib
 from collections.abc import AsyncGenerator, Callable
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class StreamHead:
-    """The head of a streamed answer: that of the worker it began on."""
+    """Head of a streamed answer, from the first worker that answered."""
 
     status: int
     headers: Headers
@@ -49,16 +49,16 @@
 
 
 class StreamForwarder:
-    """Forwards streams; resumable ones continue at another worker when theirs fails.
+    """Forwards streams; resumable ones continue at another worker after a failure.
 
     Args:
-        routes: The routes in force.
-        workers: The workers known.
-        back_ends: Sends requests to workers.
-        queue: Hands out places at workers.
-        read_version: Reads the weight version that an event announces.
-        usage: Counts what workers begin.
-        quarantine: Keeps requests that end their workers from further workers.
+        routes: Current routes.
+        workers: Directory of workers.
+        back_ends: Client that sends requests to workers.
+        queue: Queue that assigns slots at workers.
+        read_version: Reads the weight version from an event; ``None`` if the event has none.
+        usage: Meter of the requests that workers have started.
+        quarantine: Blocks requests that are suspected of crashing workers.
     """
 
     def __init__(
@@ -78,17 +78,21 @@
         self._read_version = read_version
         self._usage = usage
         self._quarantine = quarantine
-        self._patience = FirstEventPatience(MIN_FIRST_EVENT_S, MAX_FIRST_EVENT_S)
+        self._first_event_timeout = FirstEventPatience(MIN_FIRST_EVENT_S, MAX_FIRST_EVENT_S)
 
     def forward(
         self, request: ForwardRequest, after_event: int | None
     ) -> AsyncGenerator[StreamPart]:
-        """Iterate over the head and the pieces of the answer, or the one problem in its place."""
+        """Iterate over the head and the chunks of the answer, or yield one error instead.
+
+        Raises:
+            BrokenAnswerError: If the answer fails after its head was yielded.
+        """
         if request.route.is_resumable:
-            return self._resumable(request, after_event)
-        return self._once(request, after_event)
+            return self._forward_resumable(request, after_event)
+        return self._forward_once(request, after_event)
 
-    async def _resumable(
+    async def _forward_resumable(
         self, request: ForwardRequest, after_event: int | None
     ) -> AsyncGenerator[StreamPart]:
         service = self._routes.choose_service(request.route)
@@ -101,7 +105,7 @@
 
         limits = RunLimits(
             request.route.max_attempts,
-            self._patience,
+            self._first_event_timeout,
             SILENCE_TIMEOUT_S,
             end_s - now_s(),
             request.route.max_attempts,
@@ -118,17 +122,17 @@
             after_event,
             waits=RunWaits(service, self._queue.statistics),
         )
-        has_begun = False
+        has_started = False
         try:
             async with contextlib.aclosing(run.events()) as events:
                 async for event in events:
-                    if not has_begun and run.head is not None:
-                        has_begun = True
-                        self._note_begun(request)
+                    if not has_started and run.head is not None:
+                        has_started = True
+                        self._record_usage(request)
                         yield StreamHead(run.head.status, run.head.headers)
                     yield event.event.raw
         except RunEndedError as error:
-            if has_begun:
+            if has_started:
                 raise BrokenAnswerError(str(error)) from error
             fingerprint = fingerprint_of(request.call)
             verdict = self._quarantine.verdict(fingerprint)
@@ -137,10 +141,10 @@
             else:
                 yield Problem(ResultCode.BACK_END_FAILED, str(error), request.call.request_id)
 
-    def _note_begun(self, request: ForwardRequest) -> None:
+    def _record_usage(self, request: ForwardRequest) -> None:
         self._usage.note_begun(request.call.tenant, self._usage.time_s())
 
-    async def _once(
+    async def _forward_once(
         self, request: ForwardRequest, after_event: int | None
     ) -> AsyncGenerator[StreamPart]:
         fingerprint = fingerprint_of(request.call)
@@ -157,10 +161,10 @@
             self._workers.begin(worker)
             try:
                 async with contextlib.aclosing(
-                    self._pieces(worker, request, after_event)
-                ) as pieces:
-                    async for piece in pieces:
-                        yield piece
+                    self._chunks(worker, request, after_event)
+                ) as chunks:
+                    async for chunk in chunks:
+                        yield chunk
                 return
             except NotRunError as error:
                 refused.add(worker.life)
@@ -170,18 +174,18 @@
         detail = "no worker took the request"
         yield Problem(ResultCode.NO_BACK_END, detail, request.call.request_id, RETRY_AFTER_S)
 
-    async def _pieces(
+    async def _chunks(
         self, worker: Worker, request: ForwardRequest, after_event: int | None
     ) -> AsyncGenerator[StreamPart]:
         answer: OpenAnswer | None = None
-        has_begun = False
+        has_started = False
         try:
             time_left_s = end_of_request_s(request) - now_s()
             answer = await self._back_ends.open(
                 worker, request.call, time_left_s, after_event, is_repeatable=False
             )
-            has_begun = True
-            self._note_begun(request)
+            has_started = True
+            self._record_usage(request)
             yield StreamHead(answer.status, answer.headers)
             async for chunk in answer.chunks():
                 yield chunk
@@ -192,7 +196,7 @@
             self._quarantine.note_break(
                 request.call.request_id, fingerprint_of(request.call), worker
             )
-            if has_begun:
+            if has_started:
                 raise
             yield Problem(ResultCode.OUTCOME_UNKNOWN, str(error), request.call.request_id)
         finally:
