--- a/src/hollowrack/forwarding/resumable_run.py
+++ b/src/hollowrack/forwarding/resumable_run.py
@@ -46,9 +46,9 @@
 class RunEnd(Enum):
     """Reason why a run ended without its last event."""
 
-    REJECTED = "a worker says that it can never be done"
-    FAILED_TOO_OFTEN = "workers failed it too often"
-    QUARANTINED = "too many workers ended under it"
+    REJECTED = "a worker rejected it as impossible to complete"
+    FAILED_TOO_OFTEN = "the maximum number of failed attempts was reached"
+    QUARANTINED = "too many workers crashed under it"
 
 
 class RunEndedError(Exception):
