--- a/src/hollowrack/forwarding/call_places.py
+++ b/src/hollowrack/forwarding/call_places.py
@@ -56,7 +56,7 @@
             self._release(services)
 
     async def _acquire(self, services: _Services) -> None:
-        if services not in self._waiting and self._has_room(services):
+        if services not in self._waiting and self._has_free_slot(services):
             self._num_in_use[services] += 1
             return
         granted = asyncio.get_running_loop().create_future()
@@ -77,7 +77,7 @@
     def _grant_waiting(self) -> None:
         for services in list(self._waiting):
             queue = self._waiting[services]
-            while queue and (queue[0].cancelled() or self._has_room(services)):
+            while queue and (queue[0].cancelled() or self._has_free_slot(services)):
                 granted = queue.popleft()
                 if not granted.cancelled():
                     self._num_in_use[services] += 1
@@ -85,7 +85,7 @@
             if not queue:
                 del self._waiting[services]
 
-    def _has_room(self, services: _Services) -> bool:
+    def _has_free_slot(self, services: _Services) -> bool:
         num_slots = sum(
             ceil(CALL_SHARE * worker.capacity)
             for service in services
--- a/src/hollowrack/forwarding/dispatch_queue.py
+++ b/src/hollowrack/forwarding/dispatch_queue.py
@@ -80,32 +80,32 @@
     def __init__(self, workers: WorkerDirectory, limits: SlotLimits) -> None:
         self._workers = workers
         self._limits = limits
-        self._has_room: dict[tuple[str, Eligible], bool] = {}
+        self._slots_available: dict[tuple[str, Eligible], bool] = {}
         self._failed_searches: set[tuple[str, Eligible, frozenset[WorkerLife]]] = set()
 
     def choose(self, waiter: _Waiter) -> Worker | None:
         """Choose a worker with a free slot for a waiter; ``None`` if there is none."""
-        if not self._may_have_room(waiter):
+        if not self._may_have_free_slot(waiter):
             return None
         worker = self._search(waiter, waiter.avoided)
         if worker is None and waiter.avoided:
             worker = self._search(waiter, frozenset())
         if worker is not None:
-            self._has_room.clear()
+            self._slots_available.clear()
         return worker
 
-    def _may_have_room(self, waiter: _Waiter) -> bool:
+    def _may_have_free_slot(self, waiter: _Waiter) -> bool:
         # The check for any worker comes first because all waiters of a service share its result.
         service = waiter.service
-        return self._has_room_for(service, any_worker) and self._has_room_for(
+        return self._has_free_slot(service, any_worker) and self._has_free_slot(
             service, waiter.is_eligible
         )
 
-    def _has_room_for(self, service: str, is_eligible: Eligible) -> bool:
+    def _has_free_slot(self, service: str, is_eligible: Eligible) -> bool:
         key = (service, is_eligible)
-        if key not in self._has_room:
-            self._has_room[key] = self._workers.has_room(*key, self._limits.limit)
-        return self._has_room[key]
+        if key not in self._slots_available:
+            self._slots_available[key] = self._workers.has_room(*key, self._limits.limit)
+        return self._slots_available[key]
 
     def _search(self, waiter: _Waiter, avoided: frozenset[WorkerLife]) -> Worker | None:
         key = (waiter.service, waiter.is_eligible, avoided)
--- a/src/hollowrack/forwarding/early_refusal.py
+++ b/src/hollowrack/forwarding/early_refusal.py
@@ -43,12 +43,12 @@
             service: Service that would run it.
             time_left_s: Time until the caller's deadline, in seconds.
         """
-        soonest_s = self._workers.soonest_answer_s(service, route.name)
-        if soonest_s is None or soonest_s <= time_left_s:
+        latency_s = self._workers.soonest_answer_s(service, route.name)
+        if latency_s is None or latency_s <= time_left_s:
             return None
         # By then the queue is short enough for an answer within the target latency.
-        needed_s = max(MIN_RETRY_AFTER_S, soonest_s - route.target_latency_s)
-        retry_after_s = min(MAX_RETRY_AFTER_S, needed_s * self._rng.uniform(1.0, MAX_JITTER))
-        detail = f"{service}: answers take {soonest_s:.2f} s, {time_left_s:.2f} s are left"
+        min_delay_s = max(MIN_RETRY_AFTER_S, latency_s - route.target_latency_s)
+        retry_after_s = min(MAX_RETRY_AFTER_S, min_delay_s * self._rng.uniform(1.0, MAX_JITTER))
+        detail = f"{service}: expected latency {latency_s:.2f} s, time left {time_left_s:.2f} s"
         logging.info("request %s refused by load shedding: %s", request_id, detail)
         return Problem(ResultCode.OVERLOADED, detail, request_id, round(retry_after_s, 2))
--- a/src/hollowrack/forwarding/forwarder.py
+++ b/src/hollowrack/forwarding/forwarder.py
@@ -120,10 +120,10 @@
 
     async def forward(self, request: ForwardRequest) -> ForwardOutcome:
         """Return a worker's answer, or the error for the caller."""
-        end_s = end_of_request_s(request)
+        deadline_s = end_of_request_s(request)
         service = self._routes.choose_service(request.route)
         refused = self._early_refusal.problem(
-            request.call.request_id, request.route, service, end_s - now_s()
+            request.call.request_id, request.route, service, deadline_s - now_s()
         )
         if refused is not None:
             return refused
@@ -136,11 +136,11 @@
             self.hedging,
             request,
             service,
-            end_s,
+            deadline_s,
         )
         try:
-            async with asyncio.timeout_at(end_s):
-                answer = await HedgedRun(attempts, end_s).first_answer()
+            async with asyncio.timeout_at(deadline_s):
+                answer = await HedgedRun(attempts, deadline_s).first_answer()
         except TimeoutError:
             return attempts.failed_answer or attempts.history.out_of_time()
         return answer or attempts.final_failure()
@@ -157,7 +157,7 @@
         hedging: Policy of hedged attempts.
         request: Request to forward.
         service: Name of the service that runs it.
-        end_s: Deadline of the request, on the loop's clock.
+        deadline_s: Deadline of the request, on the loop's clock.
 
     Attributes:
         history: Record of the attempts.
@@ -173,7 +173,7 @@
         hedging: HedgePolicy,
         request: ForwardRequest,
         service: str,
-        end_s: float,
+        deadline_s: float,
     ) -> None:
         self._workers = workers
         self._back_ends = back_ends
@@ -183,7 +183,7 @@
         self._call = request.call
         self._route = request.route
         self._service = service
-        self._end_s = end_s
+        self._deadline_s = deadline_s
         self._fingerprint = fingerprint_of(request.call)
         self._verdict: Verdict | None = None
         self.history = AttemptHistory(request.call, request.route)
@@ -218,7 +218,7 @@
 
     def late_after_s(self) -> float:
         """Return the time after which an attempt that starts now is late, in seconds."""
-        time_left_s = self._end_s - now_s()
+        time_left_s = self._deadline_s - now_s()
         return self._hedging.delay_s(self._service, self._route.target_latency_s, time_left_s)
 
     def note_late(self, worker: Worker, seconds: float) -> None:
@@ -285,7 +285,7 @@
             opened = await self._back_ends.open(
                 worker,
                 self._call,
-                self._end_s - now_s(),
+                self._deadline_s - now_s(),
                 is_repeatable=self._route.is_idempotent,
             )
             if opened.load_report is not None:
--- a/src/hollowrack/forwarding/hedged_run.py
+++ b/src/hollowrack/forwarding/hedged_run.py
@@ -54,12 +54,12 @@
 
     Args:
         source: Makes the attempts.
-        end_s: Deadline of the request, on the loop's clock.
+        deadline_s: Deadline of the request, on the loop's clock.
     """
 
-    def __init__(self, source: AttemptSource[Answer], end_s: float) -> None:
+    def __init__(self, source: AttemptSource[Answer], deadline_s: float) -> None:
         self._source = source
-        self._end_s = end_s
+        self._deadline_s = deadline_s
         self._running: list[_Attempt[Answer]] = []
         self._next_check_s: float | None = None
 
@@ -117,9 +117,9 @@
         if spare is not None and self._source.take_hedge():
             self._start(spare)
             return
-        give_up_s = latest.started_s + GIVE_UP_SHARE * (self._end_s - latest.started_s)
-        if now_s() < give_up_s:
-            self._next_check_s = give_up_s
+        abandon_s = latest.started_s + GIVE_UP_SHARE * (self._deadline_s - latest.started_s)
+        if now_s() < abandon_s:
+            self._next_check_s = abandon_s
             return
         self._next_check_s = None
         if spare is not None and len(self._running) == 1:
--- a/src/hollowrack/forwarding/resumable_run.py
+++ b/src/hollowrack/forwarding/resumable_run.py
@@ -334,7 +334,7 @@
                 if self._should_leave(worker):
                     raise _SlowWorkerError
         if parser.has_partial_event:
-            raise BrokenAnswerError("the answer ends inside an event")
+            raise BrokenAnswerError("answer truncated inside an event")
 
     def _should_leave(self, worker: Worker) -> bool:
         if not self._retry_policy.may_leave(worker):
--- a/src/hollowrack/forwarding/stream_forwarder.py
+++ b/src/hollowrack/forwarding/stream_forwarder.py
@@ -96,7 +96,7 @@
         self, request: ForwardRequest, after_event: int | None
     ) -> AsyncGenerator[StreamPart]:
         service = self._routes.choose_service(request.route)
-        end_s = end_of_request_s(request)
+        deadline_s = end_of_request_s(request)
         rank = DispatchRank(request.route.priority, WorkKind.CALLER_STREAM)
 
         async def acquire(avoided: frozenset[WorkerLife], may_begin: Eligible | None) -> Worker:
@@ -107,7 +107,7 @@
             request.route.max_attempts,
             self._first_event_timeout,
             SILENCE_TIMEOUT_S,
-            end_s - now_s(),
+            deadline_s - now_s(),
             request.route.max_attempts,
         )
         run = ResumableRun(
--- a/src/hollowrack/forwarding/worker_load.py
+++ b/src/hollowrack/forwarding/worker_load.py
@@ -118,9 +118,9 @@
         """Number of incarnations whose state is kept."""
         return len(self._stats)
 
-    def forget(self, life: WorkerLife) -> None:
+    def forget(self, incarnation: WorkerLife) -> None:
         """Remove the state of an incarnation that has ended."""
-        self._stats.pop(life, None)
+        self._stats.pop(incarnation, None)
 
     def note_answer(self, worker: Worker, route: str, seconds: float) -> None:
         """Record the latency of one unit of a route's work.
--- a/src/hollowrack/forwarding/worker_paces.py
+++ b/src/hollowrack/forwarding/worker_paces.py
@@ -75,9 +75,9 @@
         """Discard the cached best intervals, after workers were added or removed."""
         self._best_intervals_s.clear()
 
-    def forget(self, life: WorkerLife) -> None:
+    def forget(self, incarnation: WorkerLife) -> None:
         """Remove the intervals of an incarnation that has ended."""
-        self._intervals.pop(life, None)
+        self._intervals.pop(incarnation, None)
 
     def is_much_slower(self, worker: Worker) -> bool:
         """Whether a worker has recently been much slower than the fastest of its service."""
--- a/src/hollowrack/forwarding/workers.py
+++ b/src/hollowrack/forwarding/workers.py
@@ -30,8 +30,8 @@
 
     num_in_flight: int = 0
     paused_until_s: float = -float("inf")
-    num_failures_in_a_row: int = 0
-    num_refusals_in_a_row: int = 0
+    num_consecutive_failures: int = 0
+    num_consecutive_refusals: int = 0
     failure_score: float = 0.0
 
 
@@ -107,10 +107,10 @@
         """Return a worker by its identity; ``None`` if it is unknown."""
         return self._workers.get(worker_id)
 
-    def knows(self, life: WorkerLife) -> bool:
+    def knows(self, incarnation: WorkerLife) -> bool:
         """Whether an incarnation is the current one of its worker."""
-        worker = self._workers.get(life.worker_id)
-        return worker is not None and worker.life == life
+        worker = self._workers.get(incarnation.worker_id)
+        return worker is not None and worker.life == incarnation
 
     def all(self) -> list[Worker]:
         """Return all workers, including those that are draining."""
@@ -168,13 +168,13 @@
         Returns:
             The latency in seconds; ``None`` if any worker has a free slot or no known latency.
         """
-        soonest_s: float | None = None
+        lowest_s: float | None = None
         for worker in self.serving(service):
             time_s = self.loads.expected_time_s(worker, work)
             if time_s is None or self.loads.has_room(worker):
                 return None
-            soonest_s = time_s if soonest_s is None else min(soonest_s, time_s)
-        return soonest_s
+            lowest_s = time_s if lowest_s is None else min(lowest_s, time_s)
+        return lowest_s
 
     def choose_place(
         self,
@@ -204,7 +204,7 @@
             if worker.life not in excluded and is_eligible(worker)
         ]
         with_free_slot = [
-            worker for worker in self._usable(candidates) if self._has_room(worker, limit)
+            worker for worker in self._usable(candidates) if self._has_free_slot(worker, limit)
         ]
         return min(with_free_slot, key=self._placement_cost, default=None)
 
@@ -221,7 +221,9 @@
             limit: Returns how many requests this node may have in flight at a worker.
         """
         return any(
-            self._has_room(worker, limit) and not self._is_paused(worker) and is_eligible(worker)
+            self._has_free_slot(worker, limit)
+            and not self._is_paused(worker)
+            and is_eligible(worker)
             for worker in self.serving(service)
         )
 
@@ -243,8 +245,8 @@
     def note_success(self, worker: Worker) -> None:
         """Record that a worker answered a request."""
         observations = self._observations_of(worker)
-        observations.num_failures_in_a_row = 0
-        observations.num_refusals_in_a_row = 0
+        observations.num_consecutive_failures = 0
+        observations.num_consecutive_refusals = 0
         observations.failure_score *= FAILURE_DECAY
 
     def note_pace(self, worker: Worker, seconds: float, work: str = "") -> None:
@@ -279,25 +281,25 @@
         if self._is_paused(worker):
             return  # Concurrent refusals count once.
         observations = self._observations_of(worker)
-        pause_s = min(MAX_BUSY_PAUSE_S, BUSY_PAUSE_S * 2**observations.num_refusals_in_a_row)
-        observations.num_refusals_in_a_row += 1
+        pause_s = min(MAX_BUSY_PAUSE_S, BUSY_PAUSE_S * 2**observations.num_consecutive_refusals)
+        observations.num_consecutive_refusals += 1
         self._pause(worker, pause_s)
 
     def note_failure(self, worker: Worker) -> None:
         """Record that a worker sent an incomplete answer or none."""
         self.loads.note_failure(worker)
         observations = self._observations_of(worker)
-        observations.num_failures_in_a_row += 1
+        observations.num_consecutive_failures += 1
         observations.failure_score = observations.failure_score * FAILURE_DECAY + 1.0
-        self._pause(worker, FAILURE_PAUSE_S * observations.num_failures_in_a_row)
+        self._pause(worker, FAILURE_PAUSE_S * observations.num_consecutive_failures)
 
     def note_unreachable(self, worker: Worker) -> None:
         """Record that no connection to a worker could be established."""
         self.loads.note_failure(worker)
         observations = self._observations_of(worker)
-        observations.num_failures_in_a_row += 1
+        observations.num_consecutive_failures += 1
         observations.failure_score = observations.failure_score * FAILURE_DECAY + 1.0
-        pause_s = UNREACHABLE_PAUSE_S * 2 ** min(observations.num_failures_in_a_row - 1, 5)
+        pause_s = UNREACHABLE_PAUSE_S * 2 ** min(observations.num_consecutive_failures - 1, 5)
         self._pause(worker, min(pause_s, MAX_UNREACHABLE_PAUSE_S))
 
     def note_not_run(self, worker: Worker, reason: NotRunReason) -> None:
@@ -349,7 +351,7 @@
             return [worker for worker in ready if not self.is_much_slower(worker)]
         return ready
 
-    def _has_room(self, worker: Worker, limit: Callable[[Worker], int] | None) -> bool:
+    def _has_free_slot(self, worker: Worker, limit: Callable[[Worker], int] | None) -> bool:
         max_in_flight = max(1, worker.capacity) if limit is None else limit(worker)
         return self._observations_of(worker).num_in_flight < max_in_flight
 
