--- a/src/hollowrack/forwarding/call_places.py
+++ b/src/hollowrack/forwarding/call_limiter.py
@@ -20,7 +20,7 @@
 _Services = tuple[str, ...]
 
 
-class CallPlaces:
+class CallLimiter:
     """Limits concurrent calls by set of services; calls wait in order of arrival.
 
     Calls whose workers serve no other plain requests are not limited.
@@ -43,7 +43,7 @@
         return sum(len(queue) for queue in self._waiting.values())
 
     @contextlib.asynccontextmanager
-    async def place(self, route: Route) -> AsyncIterator[None]:
+    async def slot(self, route: Route) -> AsyncIterator[None]:
         """Hold a slot for a call to a route's services; waits until one is free."""
         if not self._routes.shares_workers(route):
             yield
--- a/src/hollowrack/forwarding/dispatch_queue.py
+++ b/src/hollowrack/forwarding/dispatch_queue.py
@@ -8,13 +8,13 @@
 
 from hollowrack.clock import now_s
 from hollowrack.forwarding.dispatch_rank import DispatchRank, WorkKind
-from hollowrack.forwarding.dispatch_statistics import DispatchStatistics, WaitPlace
-from hollowrack.forwarding.slot_limits import SlotLimits, WholeCapacity
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.dispatch_statistics import DispatchStatistics, WaitKind
+from hollowrack.forwarding.slot_limits import FullCapacityLimits, SlotLimits
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
 from hollowrack.forwarding.workers import Eligible, WorkerDirectory
 
 # Interval of dispatch passes while runs wait: the end of a worker's pause triggers no event.
-LOOK_AGAIN_S = 0.05
+DISPATCH_POLL_INTERVAL_S = 0.05
 
 RankOf = Callable[[], DispatchRank]
 
@@ -44,7 +44,7 @@
     since_s: float
     service: str
     is_eligible: Eligible
-    avoided: frozenset[WorkerLife]
+    avoided: frozenset[WorkerIncarnation]
     slot: "asyncio.Future[Worker]"
 
     @property
@@ -81,7 +81,7 @@
         self._workers = workers
         self._limits = limits
         self._slots_available: dict[tuple[str, Eligible], bool] = {}
-        self._failed_searches: set[tuple[str, Eligible, frozenset[WorkerLife]]] = set()
+        self._failed_searches: set[tuple[str, Eligible, frozenset[WorkerIncarnation]]] = set()
 
     def choose(self, waiter: _Waiter) -> Worker | None:
         """Choose a worker with a free slot for a waiter; ``None`` if there is none."""
@@ -107,11 +107,11 @@
             self._slots_available[key] = self._workers.has_room(*key, self._limits.limit)
         return self._slots_available[key]
 
-    def _search(self, waiter: _Waiter, avoided: frozenset[WorkerLife]) -> Worker | None:
+    def _search(self, waiter: _Waiter, avoided: frozenset[WorkerIncarnation]) -> Worker | None:
         key = (waiter.service, waiter.is_eligible, avoided)
         if key in self._failed_searches:
             return None
-        worker = self._workers.choose_place(
+        worker = self._workers.choose_for_run(
             waiter.service, avoided, waiter.is_eligible, self._limits.limit
         )
         if worker is None:
@@ -131,7 +131,7 @@
     """
 
     def __init__(self, workers: WorkerDirectory) -> None:
-        self.limits: SlotLimits = WholeCapacity()
+        self.limits: SlotLimits = FullCapacityLimits()
         self.statistics = DispatchStatistics()
         self._workers = workers
         self._waiters: list[_Waiter] = []
@@ -140,18 +140,18 @@
         self._is_sort_outdated = False
         # Highest number of a waiter that has been left without a slot after a pass.
         self._newest_unassigned = -1
-        workers.on_change(self.look_again)
+        workers.on_change(self.schedule_dispatch)
 
     @property
     def num_waiting(self) -> int:
         """Number of waiting runs."""
         return len(self._waiters)
 
-    def num_free_places(self, service: str, is_eligible: Eligible) -> int:
+    def num_free_slots(self, service: str, is_eligible: Eligible) -> int:
         """Return the number of slots that this node may still use at eligible workers."""
         return sum(
             max(0, self.limits.limit(worker) - self._workers.num_in_flight(worker))
-            for worker in self._workers.placeable(service)
+            for worker in self._workers.available_for_runs(service)
             if is_eligible(worker)
         )
 
@@ -170,7 +170,7 @@
         service: str,
         rank_of: RankOf,
         is_eligible: Eligible,
-        avoided: frozenset[WorkerLife],
+        avoided: frozenset[WorkerIncarnation],
     ) -> Worker:
         """Wait for a slot at a worker and reserve it; the caller has to release it.
 
@@ -194,22 +194,22 @@
             slot,
         )
         bisect.insort(self._waiters, waiter, key=lambda other: other.sort_key)
-        self.look_again()
+        self.schedule_dispatch()
         try:
             return await slot
         except asyncio.CancelledError:
             if slot.done() and not slot.cancelled():
-                self._workers.end(slot.result())
+                self._workers.release_slot(slot.result())
             raise
         finally:
             if waiter in self._waiters:
                 self._waiters.remove(waiter)
 
-    def note_reordered(self) -> None:
+    def invalidate_ranks(self) -> None:
         """Sort the waiters by their current ranks before the next dispatch pass."""
         self._is_sort_outdated = True
 
-    def look_again(self) -> None:
+    def schedule_dispatch(self) -> None:
         """Schedule a dispatch pass at once, after slots may have become free."""
         self._schedule(0.0)
 
@@ -236,7 +236,7 @@
         # The limits divide slots among nodes for the items of their jobs. They do not apply to
         # callers' streams, whose node may own no job and therefore have no slots.
         caches = {
-            WorkKind.CALLER_STREAM: _PassCache(self._workers, WholeCapacity()),
+            WorkKind.CALLER_STREAM: _PassCache(self._workers, FullCapacityLimits()),
             WorkKind.JOB_ITEM: _PassCache(self._workers, self.limits),
         }
         remaining: list[_Waiter] = []
@@ -250,16 +250,16 @@
                 self._assign(waiter, worker)
         self._waiters = remaining
         self._report_unassigned()
-        self._schedule(LOOK_AGAIN_S)
+        self._schedule(DISPATCH_POLL_INTERVAL_S)
 
     def _report_unassigned(self) -> None:
         """Report waiting work to the limits, once for each waiter left without a slot."""
         newest = max((waiter.number for waiter in self._waiters), default=-1)
         if newest > self._newest_unassigned:
             self._newest_unassigned = newest
-            self.limits.note_waiting()
+            self.limits.notify_waiting()
 
     def _assign(self, waiter: _Waiter, worker: Worker) -> None:
-        self._workers.begin(worker)
-        self.statistics.note_wait(WaitPlace.NODE_QUEUE, now_s() - waiter.since_s)
+        self._workers.reserve_slot(worker)
+        self.statistics.record_wait(WaitKind.NODE_QUEUE, now_s() - waiter.since_s)
         waiter.slot.set_result(worker)
--- a/src/hollowrack/forwarding/dispatch_rank.py
+++ b/src/hollowrack/forwarding/dispatch_rank.py
@@ -33,7 +33,7 @@
             concurrently, the latest time at which the item has to start for that.
         sequence: Number of the job on this node; of jobs with the same due time the earlier one
             goes first.
-        group_place: Rank of the item's group within its job.
+        group_rank: Rank of the item's group within its job.
         minus_tokens_left: Expected number of remaining tokens, negated: the longest item of a group
             starts first.
     """
@@ -43,5 +43,5 @@
     usefulness: Usefulness = Usefulness.IN_TIME
     due_s: float = NEVER_DUE_S
     sequence: int = 0
-    group_place: int = 0
+    group_rank: int = 0
     minus_tokens_left: int = 0
--- a/src/hollowrack/forwarding/patience.py
+++ b/src/hollowrack/forwarding/first_event_timeout.py
@@ -2,12 +2,12 @@
 
 from collections import deque
 
-NUM_KEPT = 32
-MIN_NUM_KNOWN = 8
-PATIENCE_IN_WORST_CASES = 2.5
+WINDOW_SIZE = 32
+MIN_SAMPLES = 8
+TIMEOUT_FACTOR = 2.5
 
 
-class FirstEventPatience:
+class FirstEventTimeout:
     """Timeout that is a multiple of the longest recent latency.
 
     Bounds the delay that is caused by a worker which has lost a request and never answers.
@@ -20,16 +20,16 @@
     def __init__(self, min_s: float, max_s: float) -> None:
         self._min_s = min_s
         self._max_s = max_s
-        self._latencies_s: deque[float] = deque(maxlen=NUM_KEPT)
+        self._latencies_s: deque[float] = deque(maxlen=WINDOW_SIZE)
 
-    def note(self, latency_s: float) -> None:
+    def record(self, latency_s: float) -> None:
         """Record the latency of a first event, in seconds."""
         self._latencies_s.append(latency_s)
 
     @property
     def value_s(self) -> float:
         """The current timeout, in seconds."""
-        if len(self._latencies_s) < MIN_NUM_KNOWN:
+        if len(self._latencies_s) < MIN_SAMPLES:
             return self._max_s
         longest_s = max(self._latencies_s)
-        return min(self._max_s, max(self._min_s, PATIENCE_IN_WORST_CASES * longest_s))
+        return min(self._max_s, max(self._min_s, TIMEOUT_FACTOR * longest_s))
--- a/src/hollowrack/forwarding/hedged_run.py
+++ b/src/hollowrack/forwarding/hedged_run.py
@@ -25,7 +25,7 @@
         The worker has a free slot and is expected to answer sooner; ``None`` if there is none.
         """
 
-    def take_hedge(self) -> bool:
+    def spend_hedge_budget(self) -> bool:
         """Take one hedged attempt from the budget; returns whether the budget allowed it."""
 
     async def attempt(self, worker: Worker) -> Answer_co | None:
@@ -34,10 +34,10 @@
     def late_after_s(self) -> float:
         """Return the time after which an attempt that starts now is late, in seconds."""
 
-    def note_late(self, worker: Worker, seconds: float) -> None:
+    def record_late(self, worker: Worker, seconds: float) -> None:
         """Record that an attempt is late after so many seconds."""
 
-    def note_given_up(self, worker: Worker) -> None:
+    def record_abandoned(self, worker: Worker) -> None:
         """Record that a late attempt is cancelled in favour of another worker."""
 
 
@@ -112,9 +112,9 @@
         latest = self._running[-1]
         if not latest.is_late:
             latest.is_late = True
-            self._source.note_late(latest.worker, now_s() - latest.started_s)
+            self._source.record_late(latest.worker, now_s() - latest.started_s)
         spare = self._source.spare_worker(latest.worker)
-        if spare is not None and self._source.take_hedge():
+        if spare is not None and self._source.spend_hedge_budget():
             self._start(spare)
             return
         abandon_s = latest.started_s + GIVE_UP_SHARE * (self._deadline_s - latest.started_s)
@@ -127,7 +127,7 @@
 
     async def _replace(self, attempt: _Attempt[Answer], worker: Worker) -> None:
         """Cancel an attempt and start one at another worker."""
-        self._source.note_given_up(attempt.worker)
+        self._source.record_abandoned(attempt.worker)
         self._running.remove(attempt)
         await cancel_all(attempt.task)
         self._start(worker)
--- a/src/hollowrack/forwarding/hedging.py
+++ b/src/hollowrack/forwarding/hedging.py
@@ -37,7 +37,7 @@
         self.budget = RetryBudget(HEDGE_SHARE, MAX_SAVED_HEDGES)
         self._latencies_s: dict[str, deque[float]] = {}
 
-    def note_answer(self, service: str, seconds: float) -> None:
+    def record_answer(self, service: str, seconds: float) -> None:
         """Record the latency of a complete answer from a worker of a service, in seconds."""
         latencies_s = self._latencies_s.setdefault(service, deque(maxlen=NUM_ANSWERS_KEPT))
         latencies_s.append(seconds)
--- a/src/hollowrack/forwarding/early_refusal.py
+++ b/src/hollowrack/forwarding/load_shedding.py
@@ -20,7 +20,7 @@
 MAX_RETRY_AFTER_S = 5.0
 
 
-class EarlyRefusal:
+class LoadShedder:
     """Refuses requests whose expected latency exceeds the time left.
 
     Args:
@@ -32,7 +32,7 @@
         self._workers = workers
         self._rng = rng
 
-    def problem(
+    def check(
         self, request_id: str, route: Route, service: str, time_left_s: float
     ) -> Problem | None:
         """Return the error of a request that cannot be answered in time; ``None`` to send it.
--- a/src/hollowrack/forwarding/faster_place.py
+++ b/src/hollowrack/forwarding/migration.py
@@ -7,7 +7,7 @@
 from hollowrack.forwarding.workers import WorkerDirectory
 
 
-class MovePolicy(Protocol):
+class MigrationPolicy(Protocol):
     """Decides when a run should continue at a faster worker, and at which."""
 
     def is_worthwhile(self, worker: Worker, num_events: int) -> bool:
@@ -17,7 +17,7 @@
         """Wait for a slot at a clearly faster worker; the caller has to release the slot."""
 
 
-class FasterPlace:
+class MigrationSlot:
     """Requested or granted slot at a faster worker for one run.
 
     Args:
@@ -25,12 +25,12 @@
         policy: Decides when to migrate; ``None`` for never.
     """
 
-    def __init__(self, workers: WorkerDirectory, policy: MovePolicy | None) -> None:
+    def __init__(self, workers: WorkerDirectory, policy: MigrationPolicy | None) -> None:
         self._workers = workers
         self._policy = policy
         self._slot_request: asyncio.Task[Worker] | None = None
 
-    def look(self, worker: Worker, num_events: int) -> bool:
+    def poll(self, worker: Worker, num_events: int) -> bool:
         """Request a slot if that is worthwhile; return whether one has been granted."""
         if self._policy is None:
             return False
@@ -40,7 +40,7 @@
             )
         return self._slot_request is not None and self._slot_request.done()
 
-    def take(self) -> Worker | None:
+    def claim(self) -> Worker | None:
         """Return the worker of the granted slot; otherwise cancel the request for one."""
         slot_request, self._slot_request = self._slot_request, None
         if slot_request is None or slot_request.cancelled():
@@ -52,6 +52,6 @@
 
     def close(self) -> None:
         """Cancel the request, or release the slot that was granted."""
-        worker = self.take()
+        worker = self.claim()
         if worker is not None:
-            self._workers.end(worker)
+            self._workers.release_slot(worker)
--- a/src/hollowrack/forwarding/resumable_run.py
+++ b/src/hollowrack/forwarding/resumable_run.py
@@ -19,11 +19,11 @@
 )
 from hollowrack.forwarding.dispatch_statistics import DispatchStatistics
 from hollowrack.forwarding.event_stream import EventStreamError, EventStreamParser, StreamEvent
-from hollowrack.forwarding.faster_place import FasterPlace, MovePolicy
-from hollowrack.forwarding.patience import FirstEventPatience
-from hollowrack.forwarding.run_places import RunPlaces
+from hollowrack.forwarding.first_event_timeout import FirstEventTimeout
+from hollowrack.forwarding.migration import MigrationPolicy, MigrationSlot
+from hollowrack.forwarding.run_retry_policy import RunRetryPolicy
 from hollowrack.forwarding.run_waits import RunWaits
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
 from hollowrack.forwarding.workers import Eligible, WorkerDirectory
 from hollowrack.quarantine.fingerprint import fingerprint_of
 from hollowrack.quarantine.quarantine import Quarantine
@@ -33,17 +33,17 @@
 FIRST_SERVER_ERROR = 500
 MIN_PAUSE_S = 0.02
 # Bounds on how often a run migrates to a faster worker or leaves a much slower one.
-MIN_EVENTS_BEFORE_MOVE = 6
-EVENTS_BETWEEN_LOOKS = 3
-MAX_MOVES = 3
-MAX_ESCAPES = 3
+MIN_EVENTS_BEFORE_MIGRATION = 6
+EVENTS_BETWEEN_MIGRATION_CHECKS = 3
+MAX_MIGRATIONS = 3
+MAX_SLOW_WORKER_EXITS = 3
 
 
 class _SlowWorkerError(Exception):
     """Raised to continue the run at a faster worker."""
 
 
-class RunEnd(Enum):
+class RunEndReason(Enum):
     """Reason why a run ended without its last event."""
 
     REJECTED = "a worker rejected it as impossible to complete"
@@ -54,9 +54,9 @@
 class RunEndedError(Exception):
     """Raised if a run ends without its last event."""
 
-    def __init__(self, end: RunEnd) -> None:
+    def __init__(self, end: RunEndReason) -> None:
         super().__init__(end.value)
-        self.end = end
+        self.reason = end
 
 
 @dataclass(frozen=True)
@@ -73,22 +73,22 @@
 
     Attributes:
         max_failures: Number of answers with an internal server error after which the run fails.
-        patience: Timeout for the head of an answer.
-        silence_s: Maximum time without data inside an answer, in seconds.
+        first_event_timeout: Timeout for the head of an answer.
+        idle_timeout_s: Maximum time without data inside an answer, in seconds.
         time_left_s: Time sent to workers as the caller's remaining time, in seconds.
         max_workers: Maximum number of current incarnations that the run may start at; ``None`` for
             no limit.
     """
 
     max_failures: int
-    patience: FirstEventPatience
-    silence_s: float
+    first_event_timeout: FirstEventTimeout
+    idle_timeout_s: float
     time_left_s: float
     max_workers: int | None = None
 
 
 # Arguments: incarnations to avoid, and a condition on the worker or None.
-AcquireWorker = Callable[[frozenset[WorkerLife], Eligible | None], Awaitable[Worker]]
+AcquireWorker = Callable[[frozenset[WorkerIncarnation], Eligible | None], Awaitable[Worker]]
 ReadVersion = Callable[[StreamEvent], int | None]
 AcceptVersion = Callable[[int | None], bool]
 
@@ -107,13 +107,13 @@
         limits: Limits of the run.
         quarantine: Blocks calls that are suspected of crashing workers.
         after_event: Number of the event after which the run starts; ``None`` for the first event.
-        moves: Decides when the run migrates to a faster worker; ``None`` for never.
+        migration_policy: Decides when the run migrates to a faster worker; ``None`` for never.
         waits: Record of the waits of the run; ``None`` for a record of its own.
 
     Attributes:
         head: Head of the first answer; ``None`` before it.
         num_attempts: Number of attempts so far.
-        waited_for_places_s: Total time spent waiting for slots, in seconds.
+        queue_wait_s: Total time spent waiting for slots, in seconds.
         waits: Record of the waits of the run.
     """
 
@@ -128,12 +128,12 @@
         limits: RunLimits,
         quarantine: Quarantine,
         after_event: int | None = None,
-        moves: MovePolicy | None = None,
+        migration_policy: MigrationPolicy | None = None,
         waits: RunWaits | None = None,
     ) -> None:
         self.head: OpenAnswer | None = None
         self.num_attempts = 0
-        self.waited_for_places_s = 0.0
+        self.queue_wait_s = 0.0
         self.waits = waits or RunWaits("", DispatchStatistics())
         self._call = call
         self._back_ends = back_ends
@@ -148,12 +148,12 @@
         self._num_failures = 0
         self._num_migrations = 0
         self._num_slow_worker_exits = 0
-        self._avoided: frozenset[WorkerLife] = frozenset()
-        self._migration_slot = FasterPlace(workers, moves)
-        self._retry_policy = RunPlaces(
+        self._avoided: frozenset[WorkerIncarnation] = frozenset()
+        self._migration_slot = MigrationSlot(workers, migration_policy)
+        self._retry_policy = RunRetryPolicy(
             limits.max_failures,
             limits.max_workers,
-            workers.knows,
+            workers.is_current,
             workers.rng,
         )
 
@@ -172,56 +172,56 @@
         finally:
             self._migration_slot.close()
             if not is_complete:
-                self._quarantine.note_left(self._fingerprint)
+                self._quarantine.record_abandoned(self._fingerprint)
 
     async def _attempts(self) -> AsyncGenerator[VersionedEvent]:
         while True:
-            waited_before_s = self.waited_for_places_s
+            waited_before_s = self.queue_wait_s
             worker = await self._next_allowed_worker()
             self.num_attempts += 1
-            self.waits.note_begin(worker.life, self.waited_for_places_s - waited_before_s)
+            self.waits.record_start(worker.incarnation, self.queue_wait_s - waited_before_s)
             has_no_event = True
             try:
                 async with contextlib.aclosing(self._events_of(worker)) as events:
                     async for event in events:
                         has_no_event = False
-                        self._retry_policy.note_progress()
+                        self._retry_policy.record_progress()
                         yield event
-                self._workers.note_success(worker)
-                self._quarantine.note_good(self._fingerprint)
+                self._workers.record_success(worker)
+                self._quarantine.record_success(self._fingerprint)
                 return
             except NotRunError as error:
-                self._workers.note_not_run(worker, error.reason)
-                self.waits.note_not_run(error.reason)
+                self._workers.record_not_run(worker, error.reason)
+                self.waits.record_not_run(error.reason)
                 if error.reason is NotRunReason.UNREACHABLE:
-                    self._retry_policy.note_unreachable(worker)
+                    self._retry_policy.record_unreachable(worker)
             except _SlowWorkerError:
                 logging.info(
                     "run %s: leaves slower worker %s after event %s",
                     self._call.request_id,
-                    worker.life,
+                    worker.incarnation,
                     self._last_number,
                 )
             except (BrokenAnswerError, EventStreamError, TimeoutError) as error:
-                self._workers.note_failure(worker)
-                self._retry_policy.note_begun(worker)
+                self._workers.record_failure(worker)
+                self._retry_policy.record_start(worker)
                 if has_no_event:
-                    self._retry_policy.note_fruitless(worker)
+                    self._retry_policy.record_no_progress(worker)
                 logging.info(
                     "run %s: worker %s: %s after event %s",
                     self._call.request_id,
-                    worker.life,
+                    worker.incarnation,
                     str(error) or "silent",
                     self._last_number,
                 )
                 if isinstance(error, BrokenAnswerError):
-                    self._quarantine.note_break(
-                        self._call.request_id, self._fingerprint, worker, goes_on=True
+                    self._quarantine.record_disconnect(
+                        self._call.request_id, self._fingerprint, worker, is_retried_here=True
                     )
             finally:
-                self.waits.note_end()
+                self.waits.record_end()
                 self._release(worker)
-            self._avoided = frozenset({worker.life})
+            self._avoided = frozenset({worker.incarnation})
             await asyncio.sleep(MIN_PAUSE_S)
 
     async def _next_allowed_worker(self) -> Worker:
@@ -233,36 +233,36 @@
         while True:
             self._check_quarantine()
             worker = await self._next_worker()
-            placement = self._quarantine.places
+            placement = self._quarantine.suspect_placement
             # The quarantine may have changed while the run waited for the slot.
-            if self._is_allowed() and placement.allows(self._fingerprint, worker.life):
-                placement.begin(self._fingerprint, worker.life)
+            if self._is_allowed() and placement.allows(self._fingerprint, worker.incarnation):
+                placement.begin(self._fingerprint, worker.incarnation)
                 return worker
-            self._workers.end(worker)
+            self._workers.release_slot(worker)
             await asyncio.sleep(MIN_PAUSE_S)
 
     def _release(self, worker: Worker) -> None:
-        self._quarantine.places.end(self._fingerprint, worker.life)
-        self._workers.end(worker)
+        self._quarantine.suspect_placement.end(self._fingerprint, worker.incarnation)
+        self._workers.release_slot(worker)
 
     def _is_allowed(self) -> bool:
-        return self._quarantine.verdict(self._fingerprint) is None
+        return self._quarantine.quarantine_state(self._fingerprint) is None
 
     def _check_quarantine(self) -> None:
         if not self._is_allowed():
-            raise RunEndedError(RunEnd.QUARANTINED)
+            raise RunEndedError(RunEndReason.QUARANTINED)
 
     async def _next_worker(self) -> Worker:
         """Return the worker of a granted migration slot, or wait for a slot in the queue."""
-        migrated = self._migration_slot.take()
+        migrated = self._migration_slot.claim()
         if migrated is not None:
             if self._may_begin(migrated):
                 return migrated
-            self._workers.end(migrated)
+            self._workers.release_slot(migrated)
         wait_start_s = now_s()
         condition = self._may_begin if self._retry_policy.are_restricted else None
         worker = await self._acquire(self._avoided, condition)
-        self.waited_for_places_s += now_s() - wait_start_s
+        self.queue_wait_s += now_s() - wait_start_s
         return worker
 
     def _may_begin(self, worker: Worker) -> bool:
@@ -272,12 +272,12 @@
         answer: OpenAnswer | None = None
         try:
             sent_s = now_s()
-            async with asyncio.timeout(self._limits.patience.value_s):
+            async with asyncio.timeout(self._limits.first_event_timeout.value_s):
                 answer = await self._back_ends.open(
                     worker, self._call, self._limits.time_left_s, self._last_number
                 )
-            self._limits.patience.note(now_s() - sent_s)
-            self._retry_policy.note_begun(worker)
+            self._limits.first_event_timeout.record(now_s() - sent_s)
+            self._retry_policy.record_start(worker)
             self._check_status(answer)
             if not self._accepts_version(answer.weight_version):
                 raise NotRunError(NotRunReason.BUSY)
@@ -294,11 +294,11 @@
         if answer.status == HTTP_OK:
             return
         if answer.status == HTTP_UNPROCESSABLE:
-            raise RunEndedError(RunEnd.REJECTED)
+            raise RunEndedError(RunEndReason.REJECTED)
         if answer.status == FIRST_SERVER_ERROR:
             self._num_failures += 1
             if self._num_failures >= self._limits.max_failures:
-                raise RunEndedError(RunEnd.FAILED_TOO_OFTEN)
+                raise RunEndedError(RunEndReason.FAILED_TOO_OFTEN)
         raise BrokenAnswerError(f"status {answer.status}")
 
     async def _read_events(
@@ -306,20 +306,20 @@
     ) -> AsyncGenerator[VersionedEvent]:
         parser = EventStreamParser()
         num_events = 0
-        next_check = MIN_EVENTS_BEFORE_MOVE
+        next_check = MIN_EVENTS_BEFORE_MIGRATION
         last_s = now_s()
         version = answer.weight_version
         chunks = answer.chunks()
         while True:
             try:
-                async with asyncio.timeout(self._limits.silence_s):
+                async with asyncio.timeout(self._limits.idle_timeout_s):
                     chunk = await anext(chunks)
             except StopAsyncIteration:
                 break
             completed = parser.feed(chunk)
             if completed:
-                self.waits.note_event()
-                self._workers.note_pace(worker, (now_s() - last_s) / len(completed))
+                self.waits.record_event()
+                self._workers.record_latency(worker, (now_s() - last_s) / len(completed))
                 last_s = now_s()
                 num_events += len(completed)
             for event in completed:
@@ -330,7 +330,7 @@
                 self._last_number = event.number
                 yield VersionedEvent(event, version)
             if num_events >= next_check:
-                next_check = num_events + EVENTS_BETWEEN_LOOKS
+                next_check = num_events + EVENTS_BETWEEN_MIGRATION_CHECKS
                 if self._should_leave(worker):
                     raise _SlowWorkerError
         if parser.has_partial_event:
@@ -339,13 +339,15 @@
     def _should_leave(self, worker: Worker) -> bool:
         if not self._retry_policy.may_leave(worker):
             return False
-        if self._num_migrations < MAX_MOVES and self._migration_slot.look(
+        if self._num_migrations < MAX_MIGRATIONS and self._migration_slot.poll(
             worker, self._last_number or 0
         ):
             self._num_migrations += 1
             return True
         # Counted separately, so that earlier migrations never keep a run at a much slower worker.
-        if self._num_slow_worker_exits < MAX_ESCAPES and self._workers.is_much_slower(worker):
+        if self._num_slow_worker_exits < MAX_SLOW_WORKER_EXITS and self._workers.is_much_slower(
+            worker
+        ):
             self._num_slow_worker_exits += 1
             return True
         return False
--- a/src/hollowrack/forwarding/run_places.py
+++ b/src/hollowrack/forwarding/run_retry_policy.py
@@ -5,16 +5,16 @@
 
 from hollowrack.backoff import Backoff
 from hollowrack.clock import now_s
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
 
-FIRST_PAUSE_S = 0.05
+INITIAL_BACKOFF_S = 0.05
 # Also bounds the delay after all workers have recovered.
-MAX_PAUSE_S = 2.0
+MAX_BACKOFF_S = 2.0
 # Upper bound before a retry at a worker that has not failed the run yet.
-MAX_PAUSE_BEFORE_OTHERS_S = 0.3
+MAX_OTHER_WORKER_BACKOFF_S = 0.3
 
 
-class RunPlaces:
+class RunRetryPolicy:
     """Decides at which workers and when a run may be retried.
 
     The backoff grows while no worker produces an event. A worker that has not failed the run may be
@@ -33,15 +33,15 @@
         self,
         max_suspects: int,
         max_workers: int | None,
-        is_known: Callable[[WorkerLife], bool],
+        is_known: Callable[[WorkerIncarnation], bool],
         rng: random.Random,
     ) -> None:
         self._max_suspects = max_suspects
         self._max_workers = max_workers
         self._is_known = is_known
-        self._backoff = Backoff(FIRST_PAUSE_S, MAX_PAUSE_S, rng)
-        self._started_at: set[WorkerLife] = set()
-        self._failed_at: set[WorkerLife] = set()
+        self._backoff = Backoff(INITIAL_BACKOFF_S, MAX_BACKOFF_S, rng)
+        self._started_at: set[WorkerIncarnation] = set()
+        self._failed_at: set[WorkerIncarnation] = set()
         self._retry_any_from_s = -float("inf")
         self._retry_others_from_s = -float("inf")
 
@@ -54,32 +54,32 @@
             self._max_workers is not None and len(self._current_started_at()) >= self._max_workers
         )
 
-    def note_begun(self, worker: Worker) -> None:
+    def record_start(self, worker: Worker) -> None:
         """Record that the run may have started at a worker."""
-        self._started_at.add(worker.life)
+        self._started_at.add(worker.incarnation)
 
-    def note_unreachable(self, worker: Worker) -> None:
+    def record_unreachable(self, worker: Worker) -> None:
         """Record that a worker cannot be reached: the run is not in progress there any more."""
-        self._started_at.discard(worker.life)
+        self._started_at.discard(worker.incarnation)
 
-    def note_progress(self) -> None:
+    def record_progress(self) -> None:
         """Reset the backoff because a worker has produced an event."""
         if self._failed_at:
             self._backoff.reset()
             self._failed_at.clear()
 
-    def note_fruitless(self, worker: Worker) -> None:
+    def record_no_progress(self, worker: Worker) -> None:
         """Record that a worker failed or timed out before it produced an event."""
-        self._failed_at.add(worker.life)
-        pause_s = self._backoff.next_pause_s()
+        self._failed_at.add(worker.incarnation)
+        pause_s = self._backoff.next_delay_s()
         self._retry_any_from_s = now_s() + pause_s
-        self._retry_others_from_s = now_s() + min(pause_s, MAX_PAUSE_BEFORE_OTHERS_S)
+        self._retry_others_from_s = now_s() + min(pause_s, MAX_OTHER_WORKER_BACKOFF_S)
 
     def may_begin(self, worker: Worker) -> bool:
         """Whether the run may start at a worker now."""
         if not self._is_within_max_workers(worker):
             return False
-        has_not_failed = worker.life not in self._failed_at
+        has_not_failed = worker.incarnation not in self._failed_at
         if has_not_failed and len(self._failed_at) < self._max_suspects:
             return now_s() >= self._retry_others_from_s
         return now_s() >= self._retry_any_from_s
@@ -88,13 +88,13 @@
         """Whether the run may leave a worker and continue at another one."""
         if self._max_workers is None:
             return True
-        others = self._current_started_at() - {worker.life}
+        others = self._current_started_at() - {worker.incarnation}
         return bool(others) or self._max_workers > 1
 
     def _is_within_max_workers(self, worker: Worker) -> bool:
-        if self._max_workers is None or worker.life in self._started_at:
+        if self._max_workers is None or worker.incarnation in self._started_at:
             return True
         return len(self._current_started_at()) < self._max_workers
 
-    def _current_started_at(self) -> set[WorkerLife]:
+    def _current_started_at(self) -> set[WorkerIncarnation]:
         return {incarnation for incarnation in self._started_at if self._is_known(incarnation)}
--- a/src/hollowrack/forwarding/run_waits.py
+++ b/src/hollowrack/forwarding/run_waits.py
@@ -5,8 +5,8 @@
 
 from hollowrack.clock import now_s
 from hollowrack.forwarding.back_end import NotRunReason
-from hollowrack.forwarding.dispatch_statistics import DispatchStatistics, WaitPlace
-from hollowrack.forwarding.types import WorkerLife
+from hollowrack.forwarding.dispatch_statistics import DispatchStatistics, WaitKind
+from hollowrack.forwarding.types import WorkerIncarnation
 
 # Bounds the length of the log line of a run that is refused repeatedly.
 MAX_ATTEMPTS_TOLD = 6
@@ -24,7 +24,7 @@
         refusal: Why the worker did not run it; ``None`` if it may have run.
     """
 
-    incarnation: WorkerLife
+    incarnation: WorkerIncarnation
     queued_s: float
     sent_s: float
     first_event_s: float | None = None
@@ -62,27 +62,27 @@
         """Whether an attempt currently has a slot at a worker."""
         return self._is_at_worker
 
-    def note_begin(self, incarnation: WorkerLife, queued_s: float) -> None:
+    def record_start(self, incarnation: WorkerIncarnation, queued_s: float) -> None:
         """Record the start of an attempt after ``queued_s`` seconds in the queue."""
         self._attempts.append(_Attempt(incarnation, queued_s, now_s()))
         self._num_attempts += 1
         self._is_at_worker = True
         self._statistics.num_running[self._service] += 1
 
-    def note_event(self) -> None:
+    def record_event(self) -> None:
         """Record an event of the current attempt."""
         attempt = self._attempts[-1]
         if attempt.first_event_s is None:
             attempt.first_event_s = now_s() - attempt.sent_s
-            self._statistics.note_wait(WaitPlace.FIRST_EVENT, attempt.first_event_s)
+            self._statistics.record_wait(WaitKind.FIRST_EVENT, attempt.first_event_s)
 
-    def note_not_run(self, reason: NotRunReason) -> None:
+    def record_not_run(self, reason: NotRunReason) -> None:
         """Record that the worker certainly did not run the current attempt."""
         self._attempts[-1].refusal = reason
         self._num_refusals += 1
         self._statistics.num_refusals[(self._service, reason)] += 1
 
-    def note_end(self) -> None:
+    def record_end(self) -> None:
         """Record the end of the current attempt."""
         self._is_at_worker = False
         self._statistics.num_running[self._service] -= 1
--- a/src/hollowrack/forwarding/slot_limits.py
+++ b/src/hollowrack/forwarding/slot_limits.py
@@ -11,16 +11,16 @@
     def limit(self, worker: Worker) -> int:
         """Return how many requests this node may have in flight at a worker."""
 
-    def note_waiting(self) -> None:
+    def notify_waiting(self) -> None:
         """Report that work is waiting for a slot."""
 
 
-class WholeCapacity:
+class FullCapacityLimits:
     """Allows this node to use all slots of every worker."""
 
     def limit(self, worker: Worker) -> int:
         """Return the worker's capacity, or 1 if it reports none."""
         return max(1, worker.capacity)
 
-    def note_waiting(self) -> None:
+    def notify_waiting(self) -> None:
         """Do nothing: no other node can release a slot."""
--- a/src/hollowrack/forwarding/types.py
+++ b/src/hollowrack/forwarding/types.py
@@ -127,7 +127,7 @@
 
 
 @dataclass(frozen=True, order=True)
-class WorkerLife:
+class WorkerIncarnation:
     """Identifies one incarnation of a worker: the time between one start and its end.
 
     A worker that restarts keeps its identity, but has lost the state of earlier incarnations.
@@ -170,9 +170,9 @@
 
     # Cached because each choice of a worker reads it for all candidates.
     @cached_property
-    def life(self) -> WorkerLife:
+    def incarnation(self) -> WorkerIncarnation:
         """Key under which state about this incarnation is stored."""
-        return WorkerLife(self.id, self.started_ms)
+        return WorkerIncarnation(self.id, self.started_ms)
 
     def holds(self, model: str, min_version: int) -> bool:
         """Whether its weights of a model have at least a version; true for an empty model."""
--- a/src/hollowrack/forwarding/worker_paces.py
+++ b/src/hollowrack/forwarding/worker_event_intervals.py
@@ -11,7 +11,7 @@
 from statistics import median
 
 from hollowrack.clock import now_s
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
 
 # Intervals kept per worker, and the number of events between updates of their median.
 NUM_PACES_KEPT = 64
@@ -48,7 +48,7 @@
     recorded_s: float = 0.0
 
 
-class WorkerPaces:
+class WorkerEventIntervals:
     """Tracks event intervals of workers relative to the fastest worker of their service.
 
     Args:
@@ -57,12 +57,12 @@
 
     def __init__(self, serving: Callable[[str], list[Worker]]) -> None:
         self._serving = serving
-        self._intervals: dict[WorkerLife, _IntervalStats] = {}
+        self._intervals: dict[WorkerIncarnation, _IntervalStats] = {}
         self._best_intervals_s: dict[str, float] = {}
 
-    def note(self, worker: Worker, seconds: float) -> None:
+    def record(self, worker: Worker, seconds: float) -> None:
         """Record the interval before one event, in seconds."""
-        stats = self._intervals.setdefault(worker.life, _IntervalStats())
+        stats = self._intervals.setdefault(worker.incarnation, _IntervalStats())
         stats.intervals_s.append(seconds)
         stats.recorded_s = now_s()
         stats.num_recorded += 1
@@ -71,11 +71,11 @@
             stats.median_s = median(stats.intervals_s)
             self._best_intervals_s.clear()
 
-    def note_workers_changed(self) -> None:
+    def invalidate_best(self) -> None:
         """Discard the cached best intervals, after workers were added or removed."""
         self._best_intervals_s.clear()
 
-    def forget(self, incarnation: WorkerLife) -> None:
+    def remove(self, incarnation: WorkerIncarnation) -> None:
         """Remove the intervals of an incarnation that has ended."""
         self._intervals.pop(incarnation, None)
 
@@ -83,7 +83,7 @@
         """Whether a worker has recently been much slower than the fastest of its service."""
         return self._slowness(worker, PACE_FADE_S, MIN_SLOWNESS) >= MUCH_SLOWER
 
-    def slowness_for_placing(self, worker: Worker) -> float:
+    def placement_slowness(self, worker: Worker) -> float:
         """Return a worker's interval as a multiple of the best of its service."""
         return self._slowness(worker, PLACING_FADE_S, MIN_PLACING_SLOWNESS)
 
@@ -98,12 +98,12 @@
         interval_s = self._known_interval_s(worker)
         if interval_s is None:
             return 0.0
-        other_slowness = 1.0 if other is None else self.slowness_for_placing(other)
-        return num_units * interval_s * (1.0 - other_slowness / self.slowness_for_placing(worker))
+        other_slowness = 1.0 if other is None else self.placement_slowness(other)
+        return num_units * interval_s * (1.0 - other_slowness / self.placement_slowness(worker))
 
     def _slowness(self, worker: Worker, decay_s: float, threshold: float) -> float:
         """Return a worker's interval divided by the best; 1 if unknown or below ``threshold``."""
-        stats = self._intervals.get(worker.life)
+        stats = self._intervals.get(worker.incarnation)
         if stats is None or stats.median_s is None:
             return 1.0
         best_s = max(self._best_interval_s(worker.service), MIN_PACE_S)
@@ -121,5 +121,5 @@
         return self._best_intervals_s[service]
 
     def _known_interval_s(self, worker: Worker) -> float | None:
-        stats = self._intervals.get(worker.life)
+        stats = self._intervals.get(worker.incarnation)
         return None if stats is None else stats.median_s
--- a/src/hollowrack/forwarding/worker_load.py
+++ b/src/hollowrack/forwarding/worker_load.py
@@ -12,7 +12,7 @@
 
 from hollowrack.clock import now_s
 from hollowrack.forwarding.back_end import LoadReport
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
 
 # Time constant of the exponential decay of slowness and penalties. A worker that is avoided gets no
 # requests that could show its recovery, so old observations have to expire.
@@ -20,7 +20,7 @@
 # Weight of the latest answer in a worker's slowness.
 ANSWER_SHARE = 0.3
 # Weight of a late request, which is stronger evidence than a single answer.
-LATE_SHARE = 0.7
+LATE_FRACTION = 0.7
 # Weight of the latest answer in the typical latency of a route; the first answers weigh equally.
 USUAL_TIME_SHARE = 0.05
 # Smaller factors are treated as noise.
@@ -110,7 +110,7 @@
         self._zone = zone
         self._rng = rng
         self._num_in_flight = num_in_flight
-        self._stats: dict[WorkerLife, _WorkerStats] = {}
+        self._stats: dict[WorkerIncarnation, _WorkerStats] = {}
         self._route_latencies: OrderedDict[tuple[str, str], _RouteLatency] = OrderedDict()
 
     @property
@@ -118,11 +118,11 @@
         """Number of incarnations whose state is kept."""
         return len(self._stats)
 
-    def forget(self, incarnation: WorkerLife) -> None:
+    def remove(self, incarnation: WorkerIncarnation) -> None:
         """Remove the state of an incarnation that has ended."""
         self._stats.pop(incarnation, None)
 
-    def note_answer(self, worker: Worker, route: str, seconds: float) -> None:
+    def record_answer(self, worker: Worker, route: str, seconds: float) -> None:
         """Record the latency of one unit of a route's work.
 
         Args:
@@ -141,17 +141,17 @@
         stats.slowness.update(math.exp(log_s - route_latency.log_s), ANSWER_SHARE)
         stats.penalty.update(1.0, ANSWER_SHARE)
 
-    def note_late(self, worker: Worker, route: str, seconds: float) -> None:
+    def record_late(self, worker: Worker, route: str, seconds: float) -> None:
         """Record that a worker has not answered a request after so many seconds."""
         route_latency = self._route_latencies.get((worker.service, route))
         factor = MAX_FACTOR if route_latency is None else seconds / math.exp(route_latency.log_s)
-        self._stats_of(worker).slowness.update(factor, LATE_SHARE)
+        self._stats_of(worker).slowness.update(factor, LATE_FRACTION)
 
-    def note_failure(self, worker: Worker) -> None:
+    def record_failure(self, worker: Worker) -> None:
         """Record that a worker sent an incomplete answer, none, or could not be reached."""
         self._stats_of(worker).penalty.update(FAILURE_PENALTY, 1.0)
 
-    def note_report(self, worker: Worker, report: LoadReport) -> None:
+    def record_report(self, worker: Worker, report: LoadReport) -> None:
         """Record the load that a worker reported."""
         stats = self._stats_of(worker)
         num_all = report.num_running + report.num_waiting
@@ -201,7 +201,7 @@
         if route_latency is None:
             return None
         queueing_factor = max(1.0, (self._num_requests(worker) + 1) / max(1, worker.capacity))
-        stats = self._stats.get(worker.life)
+        stats = self._stats.get(worker.incarnation)
         slowness = 1.0 if stats is None else stats.slowness.value
         return queueing_factor * math.exp(route_latency.log_s) * slowness
 
@@ -215,18 +215,18 @@
         """Expected latency as a multiple of the typical latency at an idle worker."""
         load = self._num_requests(worker) / max(1, worker.capacity)
         distance = 1.0 if worker.zone == self._zone else REMOTE_FACTOR
-        stats = self._stats.get(worker.life)
+        stats = self._stats.get(worker.incarnation)
         avoidance = 1.0 if stats is None else stats.slowness.value * stats.penalty.value
         return (1.0 + load) * avoidance * distance
 
     def _num_requests(self, worker: Worker) -> float:
         """Number of requests at a worker: this node's and, by its load report, other nodes'."""
         num_own = self._num_in_flight(worker)
-        stats = self._stats.get(worker.life)
+        stats = self._stats.get(worker.incarnation)
         if stats is None:
             return num_own
         decay = math.exp(-(now_s() - stats.report_received_s) / REPORT_FADE_S)
         return num_own + stats.num_other_requests * decay
 
     def _stats_of(self, worker: Worker) -> _WorkerStats:
-        return self._stats.setdefault(worker.life, _WorkerStats())
+        return self._stats.setdefault(worker.incarnation, _WorkerStats())
--- a/src/hollowrack/forwarding/workers.py
+++ b/src/hollowrack/forwarding/workers.py
@@ -8,9 +8,9 @@
 
 from hollowrack.clock import now_s
 from hollowrack.forwarding.back_end import NotRunReason
-from hollowrack.forwarding.types import Worker, WorkerLife
+from hollowrack.forwarding.types import Worker, WorkerIncarnation
+from hollowrack.forwarding.worker_event_intervals import WorkerEventIntervals
 from hollowrack.forwarding.worker_load import WorkerLoads
-from hollowrack.forwarding.worker_paces import WorkerPaces
 
 BUSY_PAUSE_S = 0.06
 MAX_BUSY_PAUSE_S = 0.24
@@ -61,9 +61,9 @@
         self._zone = zone
         self._rng = rng
         self._workers: dict[str, Worker] = {}
-        self._observations: dict[WorkerLife, _Observations] = {}
+        self._observations: dict[WorkerIncarnation, _Observations] = {}
         self.loads = WorkerLoads(zone, rng, self.num_in_flight)
-        self._event_intervals = WorkerPaces(self.serving)
+        self._event_intervals = WorkerEventIntervals(self.serving)
         self._listeners: list[Callable[[], None]] = []
         self._end_listeners: list[Callable[[Worker], None]] = []
 
@@ -80,37 +80,37 @@
         """Register a listener that is called with the worker of each request that has ended."""
         self._end_listeners.append(listener)
 
-    def put(self, worker: Worker) -> None:
+    def update(self, worker: Worker) -> None:
         """Update the registry entry of a worker; entries of earlier incarnations are ignored."""
         known = self._workers.get(worker.id)
         if known is not None and worker.started_ms < known.started_ms:
-            logging.info("worker %s: ignored, %s is known", worker.life, known.life)
+            logging.info("worker %s: ignored, %s is known", worker.incarnation, known.incarnation)
             return
         self._workers[worker.id] = worker
-        self._observations.setdefault(worker.life, _Observations())
-        if known is not None and known.life != worker.life:
-            logging.info("worker %s: started again as %s", known.life, worker.life)
-            self.loads.forget(known.life)
+        self._observations.setdefault(worker.incarnation, _Observations())
+        if known is not None and known.incarnation != worker.incarnation:
+            logging.info("worker %s: started again as %s", known.incarnation, worker.incarnation)
+            self.loads.remove(known.incarnation)
             self._remove_observations_if_idle(known)
-        self._event_intervals.note_workers_changed()
+        self._event_intervals.invalidate_best()
         self._notify()
 
     def remove(self, worker_id: str) -> None:
         """Remove a worker that has left the registry."""
         worker = self._workers.pop(worker_id, None)
-        self._event_intervals.note_workers_changed()
+        self._event_intervals.invalidate_best()
         if worker is not None:
-            self.loads.forget(worker.life)
+            self.loads.remove(worker.incarnation)
             self._remove_observations_if_idle(worker)
 
     def get(self, worker_id: str) -> Worker | None:
         """Return a worker by its identity; ``None`` if it is unknown."""
         return self._workers.get(worker_id)
 
-    def knows(self, incarnation: WorkerLife) -> bool:
+    def is_current(self, incarnation: WorkerIncarnation) -> bool:
         """Whether an incarnation is the current one of its worker."""
         worker = self._workers.get(incarnation.worker_id)
-        return worker is not None and worker.life == incarnation
+        return worker is not None and worker.incarnation == incarnation
 
     def all(self) -> list[Worker]:
         """Return all workers, including those that are draining."""
@@ -127,7 +127,7 @@
     def choose(
         self,
         service: str,
-        excluded: Collection[WorkerLife] = (),
+        excluded: Collection[WorkerIncarnation] = (),
     ) -> Worker | None:
         """Choose a worker for a plain request by its expected latency.
 
@@ -138,11 +138,15 @@
         Returns:
             The worker; ``None`` if the service has no other workers.
         """
-        candidates = [worker for worker in self.serving(service) if worker.life not in excluded]
+        candidates = [
+            worker for worker in self.serving(service) if worker.incarnation not in excluded
+        ]
         ready = [worker for worker in candidates if not self._is_paused(worker)]
         return self.loads.choose(ready or candidates)
 
-    def choose_sooner(self, late: Worker, excluded: Collection[WorkerLife]) -> Worker | None:
+    def choose_for_hedge(
+        self, late: Worker, excluded: Collection[WorkerIncarnation]
+    ) -> Worker | None:
         """Choose a worker for a hedged attempt of a request that is late at another worker.
 
         Only workers that have a free slot, are not paused after a failure and are expected to
@@ -151,7 +155,7 @@
         candidates = [
             worker
             for worker in self.serving(late.service)
-            if worker.life not in excluded
+            if worker.incarnation not in excluded
             and not self._is_paused(worker)
             and self.loads.has_room(worker)
             and self.loads.is_sooner(worker, late)
@@ -176,10 +180,10 @@
             lowest_s = time_s if lowest_s is None else min(lowest_s, time_s)
         return lowest_s
 
-    def choose_place(
+    def choose_for_run(
         self,
         service: str,
-        excluded: Collection[WorkerLife],
+        excluded: Collection[WorkerIncarnation],
         is_eligible: Eligible,
         limit: Callable[[Worker], int] | None = None,
     ) -> Worker | None:
@@ -201,14 +205,14 @@
         candidates = [
             worker
             for worker in self.serving(service)
-            if worker.life not in excluded and is_eligible(worker)
+            if worker.incarnation not in excluded and is_eligible(worker)
         ]
         with_free_slot = [
             worker for worker in self._usable(candidates) if self._has_free_slot(worker, limit)
         ]
         return min(with_free_slot, key=self._placement_cost, default=None)
 
-    def placeable(self, service: str) -> list[Worker]:
+    def available_for_runs(self, service: str) -> list[Worker]:
         """Return the workers of a service that runs may be placed at, including full ones."""
         return self._usable(self.serving(service))
 
@@ -227,29 +231,29 @@
             for worker in self.serving(service)
         )
 
-    def begin(self, worker: Worker) -> None:
+    def reserve_slot(self, worker: Worker) -> None:
         """Count a request that is sent to a worker."""
-        self._observations.setdefault(worker.life, _Observations()).num_in_flight += 1
+        self._observations.setdefault(worker.incarnation, _Observations()).num_in_flight += 1
 
-    def end(self, worker: Worker) -> None:
+    def release_slot(self, worker: Worker) -> None:
         """Release the slot of a request that has ended."""
         observations = self._observations_of(worker)
         observations.num_in_flight -= 1
-        if not self.knows(worker.life):
+        if not self.is_current(worker.incarnation):
             self._remove_observations_if_idle(worker)
-            self.loads.forget(worker.life)
+            self.loads.remove(worker.incarnation)
         for listener in self._end_listeners:
             listener(worker)
         self._notify()
 
-    def note_success(self, worker: Worker) -> None:
+    def record_success(self, worker: Worker) -> None:
         """Record that a worker answered a request."""
         observations = self._observations_of(worker)
         observations.num_consecutive_failures = 0
         observations.num_consecutive_refusals = 0
         observations.failure_score *= FAILURE_DECAY
 
-    def note_pace(self, worker: Worker, seconds: float, work: str = "") -> None:
+    def record_latency(self, worker: Worker, seconds: float, work: str = "") -> None:
         """Record the latency of one unit of work: a request, or an event of a stream.
 
         Args:
@@ -257,10 +261,10 @@
             seconds: Latency in seconds.
             work: Kind of work; latencies are compared within one kind only.
         """
-        if not self.knows(worker.life):
+        if not self.is_current(worker.incarnation):
             return  # State of an incarnation that has ended would never be removed.
-        self.loads.note_answer(worker, work, seconds)
-        self._event_intervals.note(worker, seconds)
+        self.loads.record_answer(worker, work, seconds)
+        self._event_intervals.record(worker, seconds)
 
     def is_much_slower(self, worker: Worker) -> bool:
         """Whether a worker has recently been much slower than the fastest of its service."""
@@ -276,7 +280,7 @@
         """
         return self._event_intervals.time_saved_s(worker, other, num_units)
 
-    def note_busy(self, worker: Worker) -> None:
+    def record_busy(self, worker: Worker) -> None:
         """Record that a worker refused a request because it is full."""
         if self._is_paused(worker):
             return  # Concurrent refusals count once.
@@ -285,42 +289,42 @@
         observations.num_consecutive_refusals += 1
         self._pause(worker, pause_s)
 
-    def note_failure(self, worker: Worker) -> None:
+    def record_failure(self, worker: Worker) -> None:
         """Record that a worker sent an incomplete answer or none."""
-        self.loads.note_failure(worker)
+        self.loads.record_failure(worker)
         observations = self._observations_of(worker)
         observations.num_consecutive_failures += 1
         observations.failure_score = observations.failure_score * FAILURE_DECAY + 1.0
         self._pause(worker, FAILURE_PAUSE_S * observations.num_consecutive_failures)
 
-    def note_unreachable(self, worker: Worker) -> None:
+    def record_unreachable(self, worker: Worker) -> None:
         """Record that no connection to a worker could be established."""
-        self.loads.note_failure(worker)
+        self.loads.record_failure(worker)
         observations = self._observations_of(worker)
         observations.num_consecutive_failures += 1
         observations.failure_score = observations.failure_score * FAILURE_DECAY + 1.0
         pause_s = UNREACHABLE_PAUSE_S * 2 ** min(observations.num_consecutive_failures - 1, 5)
         self._pause(worker, min(pause_s, MAX_UNREACHABLE_PAUSE_S))
 
-    def note_not_run(self, worker: Worker, reason: NotRunReason) -> None:
+    def record_not_run(self, worker: Worker, reason: NotRunReason) -> None:
         """Record that a worker certainly did not run a request."""
         if reason is NotRunReason.BUSY:
-            self.note_busy(worker)
+            self.record_busy(worker)
         elif reason is NotRunReason.UNREACHABLE:
-            self.note_unreachable(worker)
+            self.record_unreachable(worker)
         else:
-            self.note_replaced(worker)
+            self.record_replaced(worker)
 
-    def note_replaced(self, worker: Worker) -> None:
+    def record_replaced(self, worker: Worker) -> None:
         """Remove a worker at whose address another incarnation answers."""
-        if self.knows(worker.life):
+        if self.is_current(worker.incarnation):
             self.remove(worker.id)
 
     def num_in_flight(self, worker: Worker) -> int:
         """Return the number of requests that this node has in flight at a worker."""
         return self._observations_of(worker).num_in_flight
 
-    def num_turns(self, worker: Worker) -> float:
+    def queueing_factor(self, worker: Worker) -> float:
         """Return this node's requests in flight at a worker per slot, at least 1.
 
         The latest request sent there takes about this many times longer than at an idle worker.
@@ -329,13 +333,13 @@
 
     def _observations_of(self, worker: Worker) -> _Observations:
         """Return the observations of a worker; empty ones if none are kept."""
-        return self._observations.get(worker.life) or _Observations()
+        return self._observations.get(worker.incarnation) or _Observations()
 
     def _remove_observations_if_idle(self, worker: Worker) -> None:
         """Remove the observations of an ended incarnation that has no requests in flight."""
         if self._observations_of(worker).num_in_flight <= 0:
-            self._observations.pop(worker.life, None)
-            self._event_intervals.forget(worker.life)
+            self._observations.pop(worker.incarnation, None)
+            self._event_intervals.remove(worker.incarnation)
 
     def _pause(self, worker: Worker, pause_s: float) -> None:
         observations = self._observations_of(worker)
@@ -358,7 +362,7 @@
     def _placement_cost(self, worker: Worker) -> tuple[float, float]:
         observations = self._observations_of(worker)
         load = (observations.num_in_flight + 1) / max(1, worker.capacity)
-        cost = self._event_intervals.slowness_for_placing(worker) + PLACING_LOAD_WEIGHT * load
+        cost = self._event_intervals.placement_slowness(worker) + PLACING_LOAD_WEIGHT * load
         cost += FAILURE_WEIGHT * observations.failure_score
         if worker.zone != self._zone:
             cost += REMOTE_ZONE_PENALTY
