--- a/src/hollowrack/forwarding/dispatch_queue.py
+++ b/src/hollowrack/forwarding/dispatch_queue.py
@@ -177,7 +177,7 @@
         Args:
             service: Name of the service.
             rank_of: Returns the rank; lower ranks go first. It is called again after
-                :meth:`note_reordered`.
+                :meth:`invalidate_ranks`.
             is_eligible: Condition that the worker has to meet. Waiters whose conditions compare
                 equal share the search of a dispatch pass.
             avoided: Incarnations that are chosen only if there is no other worker.
--- a/src/hollowrack/forwarding/resumable_run.py
+++ b/src/hollowrack/forwarding/resumable_run.py
@@ -101,7 +101,7 @@
         back_ends: Client that sends requests to workers.
         workers: Directory of workers, which records their successes and failures.
         acquire: Reserves a slot for the run and returns its worker, avoiding the given incarnations
-            if possible; the slot is released through ``workers.end``.
+            if possible; the slot is released through ``workers.release_slot``.
         read_version: Reads the weight version from an event; ``None`` if the event has none.
         accepts_version: Whether an answer that starts with a weight version may be used.
         limits: Limits of the run.
--- a/src/hollowrack/forwarding/run_retry_policy.py
+++ b/src/hollowrack/forwarding/run_retry_policy.py
@@ -25,7 +25,7 @@
         max_suspects: Number of failed workers from which on the backoff applies to all workers.
         max_workers: Maximum number of current incarnations that the run may start at; ``None`` for
             no limit.
-        is_known: Returns whether an incarnation is the current one of its worker.
+        is_current: Returns whether an incarnation is the current one of its worker.
         rng: Random number generator for the jitter of the backoff.
     """
 
@@ -33,12 +33,12 @@
         self,
         max_suspects: int,
         max_workers: int | None,
-        is_known: Callable[[WorkerIncarnation], bool],
+        is_current: Callable[[WorkerIncarnation], bool],
         rng: random.Random,
     ) -> None:
         self._max_suspects = max_suspects
         self._max_workers = max_workers
-        self._is_known = is_known
+        self._is_current = is_current
         self._backoff = Backoff(INITIAL_BACKOFF_S, MAX_BACKOFF_S, rng)
         self._started_at: set[WorkerIncarnation] = set()
         self._failed_at: set[WorkerIncarnation] = set()
@@ -97,4 +97,4 @@
         return len(self._current_started_at()) < self._max_workers
 
     def _current_started_at(self) -> set[WorkerIncarnation]:
-        return {incarnation for incarnation in self._started_at if self._is_known(incarnation)}
+        return {incarnation for incarnation in self._started_at if self._is_current(incarnation)}
--- a/src/hollowrack/forwarding/workers.py
+++ b/src/hollowrack/forwarding/workers.py
@@ -217,7 +217,7 @@
         return self._usable(self.serving(service))
 
     def has_room(self, service: str, is_eligible: Eligible, limit: Callable[[Worker], int]) -> bool:
-        """Whether any eligible worker has a free slot; if not, ``choose_place`` finds none.
+        """Whether any eligible worker has a free slot; if not, ``choose_for_run`` finds none.
 
         Args:
             service: Name of the service.
