--- a/src/hollowrack/forwarding/resumable_run.py
+++ b/src/hollowrack/forwarding/resumable_run.py
@@ -197,7 +197,7 @@
                     self._retry_policy.record_unreachable(worker)
             except _SlowWorkerError:
                 logging.info(
-                    "run %s: leaves slower worker %s after event %s",
+                    "run %s: leaving slower worker %s after event %s",
                     self._call.request_id,
                     worker.incarnation,
                     self._last_number,
--- a/src/hollowrack/forwarding/workers.py
+++ b/src/hollowrack/forwarding/workers.py
@@ -84,12 +84,16 @@
         """Update the registry entry of a worker; entries of earlier incarnations are ignored."""
         known = self._workers.get(worker.id)
         if known is not None and worker.started_ms < known.started_ms:
-            logging.info("worker %s: ignored, %s is known", worker.incarnation, known.incarnation)
+            logging.info(
+                "worker %s: earlier incarnation ignored, current is %s",
+                worker.incarnation,
+                known.incarnation,
+            )
             return
         self._workers[worker.id] = worker
         self._observations.setdefault(worker.incarnation, _Observations())
         if known is not None and known.incarnation != worker.incarnation:
-            logging.info("worker %s: started again as %s", known.incarnation, worker.incarnation)
+            logging.info("worker %s: restarted as %s", known.incarnation, worker.incarnation)
             self.loads.remove(known.incarnation)
             self._remove_observations_if_idle(known)
         self._event_intervals.invalidate_best()
