--- a/src/hollowrack/forwarding/first_event_timeout.py
+++ b/src/hollowrack/forwarding/first_event_timeout.py
@@ -1,4 +1,4 @@
-"""Adaptive timeout for the first event of an answer."""
+"""Adaptive timeout for the start of an answer."""
 
 from collections import deque
 
@@ -23,7 +23,7 @@
         self._latencies_s: deque[float] = deque(maxlen=WINDOW_SIZE)
 
     def record(self, latency_s: float) -> None:
-        """Record the latency of a first event, in seconds."""
+        """Record the time until an answer started, in seconds."""
         self._latencies_s.append(latency_s)
 
     @property
--- a/src/hollowrack/forwarding/resumable_run.py
+++ b/src/hollowrack/forwarding/resumable_run.py
@@ -234,7 +234,7 @@
             self._check_quarantine()
             worker = await self._next_worker()
             placement = self._quarantine.suspect_placement
-            # The quarantine may have changed while the run waited for the slot.
+            # The quarantine and its placement may have changed during the wait.
             if self._is_allowed() and placement.allows(self._fingerprint, worker.incarnation):
                 placement.begin(self._fingerprint, worker.incarnation)
                 return worker
@@ -254,11 +254,11 @@
 
     async def _next_worker(self) -> Worker:
         """Return the worker of a granted migration slot, or wait for a slot in the queue."""
-        migrated = self._migration_slot.claim()
-        if migrated is not None:
-            if self._may_begin(migrated):
-                return migrated
-            self._workers.release_slot(migrated)
+        target = self._migration_slot.claim()
+        if target is not None:
+            if self._may_begin(target):
+                return target
+            self._workers.release_slot(target)
         wait_start_s = now_s()
         condition = self._may_begin if self._retry_policy.are_restricted else None
         worker = await self._acquire(self._avoided, condition)
