--- a/src/hollowrack/forwarding/workers.py
+++ b/src/hollowrack/forwarding/workers.py
@@ -1,4 +1,4 @@
-"""The workers this node knows, what it has in flight at each, and direct evidence about them."""
+"""Directory of workers with this node's in-flight requests and observations of failures."""
 
 import random
 from collections.abc import Callable, Collection
@@ -18,20 +18,20 @@
 MAX_UNREACHABLE_PAUSE_S = 4.0
 FAILURE_PAUSE_S = 0.15
 REMOTE_ZONE_PENALTY = 0.06
-# A full worker is taken for that much slower than an empty one when runs are placed.
+# Cost of a full worker compared with an idle one when runs are placed; a slowness of 1 costs 1.
 PLACING_LOAD_WEIGHT = 0.25
 FAILURE_DECAY = 0.5
 FAILURE_WEIGHT = 2.0
 
 
 @dataclass
-class _Evidence:
-    """What this node has seen of one life of a worker."""
+class _Observations:
+    """This node's requests to one incarnation of a worker and the failures it observed."""
 
     num_in_flight: int = 0
     paused_until_s: float = -float("inf")
-    num_failures_in_a_row: int = 0
-    num_refusals_in_a_row: int = 0
+    num_consecutive_failures: int = 0
+    num_consecutive_refusals: int = 0
     failure_score: float = 0.0
 
 
@@ -39,84 +39,89 @@
 
 
 def both(first: Eligible, second: Eligible) -> Eligible:
-    """Return the condition that two conditions hold."""
+    """Return the conjunction of two conditions."""
     return lambda worker: first(worker) and second(worker)
 
 
 class WorkerDirectory:
-    """Workers by service, with the load and the failures seen from this node.
+    """Chooses workers by service from the registry and this node's observations.
 
-    One life of each identity is known. All that was seen belongs to the life in which it was seen.
+    Holds the latest incarnation of each worker. Observations are kept per incarnation and do not
+    carry over to the next one.
 
     Args:
-        zone: This node's zone; near workers are preferred when equally loaded.
-        rng: Source of all random choices.
+        zone: This node's zone, whose workers are preferred.
+        rng: Random number generator for choices among workers.
 
     Attributes:
-        loads: How soon each worker should answer a plain request.
+        loads: Expected latencies of plain requests by worker.
     """
 
     def __init__(self, zone: str, rng: random.Random) -> None:
         self._zone = zone
         self._rng = rng
         self._workers: dict[str, Worker] = {}
-        self._evidence: dict[WorkerIncarnation, _Evidence] = {}
+        self._observations: dict[WorkerIncarnation, _Observations] = {}
         self.loads = WorkerLoads(zone, rng, self.num_in_flight)
-        self._paces = WorkerEventIntervals(self.serving)
+        self._event_intervals = WorkerEventIntervals(self.serving)
         self._listeners: list[Callable[[], None]] = []
         self._end_listeners: list[Callable[[Worker], None]] = []
 
     @property
     def rng(self) -> random.Random:
-        """Source of the random choices about workers."""
+        """Random number generator for choices among workers."""
         return self._rng
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call a listener whenever a worker may have become available."""
+        """Register a listener that is called when a worker may have become available."""
         self._listeners.append(listener)
 
     def on_end(self, listener: Callable[[Worker], None]) -> None:
-        """Call a listener with the worker of each request that is over."""
+        """Register a listener that is called with the worker of each request that has ended."""
         self._end_listeners.append(listener)
 
     def update(self, worker: Worker) -> None:
-        """Take in a worker's newest state; that of a life before the known one is ignored."""
+        """Update the registry entry of a worker; entries of earlier incarnations are ignored."""
         known = self._workers.get(worker.id)
         if known is not None and worker.started_ms < known.started_ms:
-            logging.info("worker %s: ignored, %s is known", worker.incarnation, known.incarnation)
+            logging.info(
+                "worker %s: earlier incarnation ignored, current is %s",
+                worker.incarnation,
+                known.incarnation,
+            )
             return
         self._workers[worker.id] = worker
-        self._evidence.setdefault(worker.incarnation, _Evidence())
+        self._observations.setdefault(worker.incarnation, _Observations())
         if known is not None and known.incarnation != worker.incarnation:
-            logging.info("worker %s: started again as %s", known.incarnation, worker.incarnation)
+            logging.info("worker %s: restarted as %s", known.incarnation, worker.incarnation)
             self.loads.remove(known.incarnation)
-            self._drop_evidence_at_rest(known)
-        self._paces.invalidate_best()
+            self._remove_observations_if_idle(known)
+        self._event_intervals.invalidate_best()
         self._notify()
 
     def remove(self, worker_id: str) -> None:
-        """Forget a worker that is gone."""
+        """Remove a worker that has left the registry."""
         worker = self._workers.pop(worker_id, None)
-        self._paces.invalidate_best()
+        self._event_intervals.invalidate_best()
         if worker is not None:
             self.loads.remove(worker.incarnation)
-            self._drop_evidence_at_rest(worker)
+            self._remove_observations_if_idle(worker)
 
     def get(self, worker_id: str) -> Worker | None:
-        """Return a worker by its identity."""
+        """Return a worker by its identity; ``None`` if it is unknown."""
         return self._workers.get(worker_id)
 
-    def is_current(self, life: WorkerIncarnation) -> bool:
-        """Whether a life of a worker is the one that is there."""
-        worker = self._workers.get(life.worker_id)
-        return worker is not None and worker.incarnation == life
+    def is_current(self, incarnation: WorkerIncarnation) -> bool:
+        """Whether an incarnation is the current one of its worker."""
+        worker = self._workers.get(incarnation.worker_id)
+        return worker is not None and worker.incarnation == incarnation
 
     def all(self) -> list[Worker]:
-        """Return all workers, leaving ones included."""
+        """Return all workers, including those that are draining."""
         return list(self._workers.values())
 
     def serving(self, service: str) -> list[Worker]:
-        """Return a service's workers that take new work."""
+        """Return a service's workers that accept new requests."""
         return [
             worker
             for worker in self._workers.values()
@@ -128,11 +133,14 @@
         service: str,
         excluded: Collection[WorkerIncarnation] = (),
     ) -> Worker | None:
-        """Choose a worker of a service that should answer a request soon.
+        """Choose a worker for a plain request by its expected latency.
 
         Args:
-            service: The service.
-            excluded: Lives of workers not to be chosen.
+            service: Name of the service.
+            excluded: Incarnations that are not chosen.
+
+        Returns:
+            The worker; ``None`` if the service has no other workers.
         """
         candidates = [
             worker for worker in self.serving(service) if worker.incarnation not in excluded
@@ -143,10 +151,10 @@
     def choose_for_hedge(
         self, late: Worker, excluded: Collection[WorkerIncarnation]
     ) -> Worker | None:
-        """Choose a worker for a request that is late at another one of the service.
+        """Choose a worker for a hedged attempt of a request that is late at another worker.
 
-        It has a free slot, has not failed or refused a moment ago, and is expected to answer
-        sooner: where all are late, a further attempt only adds load.
+        Only workers that have a free slot, are not paused after a failure and are expected to
+        answer sooner are considered: if all workers are slow, hedging only adds load.
         """
         candidates = [
             worker
@@ -159,22 +167,22 @@
         return self.loads.choose(candidates)
 
     def soonest_answer_s(self, service: str, work: str) -> float | None:
-        """How long the soonest worker should take for a request that has to wait for a slot.
+        """Return the lowest expected latency of a request that has to wait for a slot.
 
         Args:
-            service: The service.
-            work: What kind of work it is.
+            service: Name of the service.
+            work: Kind of work; latencies are tracked separately for each kind.
 
         Returns:
-            The time in seconds; ``None`` if a slot is free somewhere, or nothing is known.
+            The latency in seconds; ``None`` if any worker has a free slot or no known latency.
         """
-        soonest_s: float | None = None
+        lowest_s: float | None = None
         for worker in self.serving(service):
             time_s = self.loads.expected_time_s(worker, work)
             if time_s is None or self.loads.has_room(worker):
                 return None
-            soonest_s = time_s if soonest_s is None else min(soonest_s, time_s)
-        return soonest_s
+            lowest_s = time_s if lowest_s is None else min(lowest_s, time_s)
+        return lowest_s
 
     def choose_for_run(
         self,
@@ -183,120 +191,127 @@
         is_eligible: Eligible,
         limit: Callable[[Worker], int] | None = None,
     ) -> Worker | None:
-        """Choose the fastest worker of a service that has room for a run.
+        """Choose the fastest worker of a service that has a free slot for a run.
 
-        How long a run takes depends on the pace of its worker far more than on the others there;
-        so those that are placed first, the longest, go to the fastest workers.
+        The duration of a run depends on the speed of its worker much more than on the load there.
+        Runs are placed longest first, so that the longest go to the fastest workers.
 
         Args:
-            service: The service.
-            excluded: Lives of workers not to be chosen.
-            is_eligible: Further condition.
+            service: Name of the service.
+            excluded: Incarnations that are not chosen.
+            is_eligible: Condition that the worker has to meet.
             limit: Returns how many requests this node may have in flight at a worker; ``None`` for
-                its capacity.
+                the worker's capacity.
+
+        Returns:
+            The worker; ``None`` if there is none.
         """
         candidates = [
             worker
             for worker in self.serving(service)
             if worker.incarnation not in excluded and is_eligible(worker)
         ]
-        with_room = [worker for worker in self._usable(candidates) if self._has_room(worker, limit)]
-        return min(with_room, key=self._placing_cost, default=None)
+        with_free_slot = [
+            worker for worker in self._usable(candidates) if self._has_free_slot(worker, limit)
+        ]
+        return min(with_free_slot, key=self._placement_cost, default=None)
 
     def available_for_runs(self, service: str) -> list[Worker]:
-        """Return a service's workers at which runs are placed now, full ones included."""
+        """Return the workers of a service that runs may be placed at, including full ones."""
         return self._usable(self.serving(service))
 
     def has_room(self, service: str, is_eligible: Eligible, limit: Callable[[Worker], int]) -> bool:
-        """Whether any worker that will do has room: if not, ``choose_place`` finds none.
+        """Whether any eligible worker has a free slot; if not, ``choose_for_run`` finds none.
 
         Args:
-            service: The service.
-            is_eligible: Which of its workers will do.
+            service: Name of the service.
+            is_eligible: Condition that the worker has to meet.
             limit: Returns how many requests this node may have in flight at a worker.
         """
         return any(
-            self._has_room(worker, limit) and not self._is_paused(worker) and is_eligible(worker)
+            self._has_free_slot(worker, limit)
+            and not self._is_paused(worker)
+            and is_eligible(worker)
             for worker in self.serving(service)
         )
 
     def reserve_slot(self, worker: Worker) -> None:
-        """A request goes to a worker."""
-        self._evidence.setdefault(worker.incarnation, _Evidence()).num_in_flight += 1
+        """Count a request that is sent to a worker."""
+        self._observations.setdefault(worker.incarnation, _Observations()).num_in_flight += 1
 
     def release_slot(self, worker: Worker) -> None:
-        """A request at a worker is over."""
-        evidence = self._of(worker)
-        evidence.num_in_flight -= 1
+        """Release the slot of a request that has ended."""
+        observations = self._observations_of(worker)
+        observations.num_in_flight -= 1
         if not self.is_current(worker.incarnation):
-            self._drop_evidence_at_rest(worker)
+            self._remove_observations_if_idle(worker)
             self.loads.remove(worker.incarnation)
         for listener in self._end_listeners:
             listener(worker)
         self._notify()
 
     def record_success(self, worker: Worker) -> None:
-        """A worker answered well."""
-        evidence = self._of(worker)
-        evidence.num_failures_in_a_row = 0
-        evidence.num_refusals_in_a_row = 0
-        evidence.failure_score *= FAILURE_DECAY
+        """Record that a worker answered a request."""
+        observations = self._observations_of(worker)
+        observations.num_consecutive_failures = 0
+        observations.num_consecutive_refusals = 0
+        observations.failure_score *= FAILURE_DECAY
 
     def record_latency(self, worker: Worker, seconds: float, work: str = "") -> None:
-        """A worker took this long for one unit of its work: a request, or an event of a stream.
+        """Record the latency of one unit of work: a request, or an event of a stream.
 
         Args:
-            worker: The worker.
-            seconds: How long it took.
-            work: What kind of work it was; times of one kind are compared with each other.
+            worker: The worker that did the work.
+            seconds: Latency in seconds.
+            work: Kind of work; latencies are compared within one kind only.
         """
         if not self.is_current(worker.incarnation):
-            return  # Nothing that is noted of a life that is over would ever be forgotten.
+            return  # State of an incarnation that has ended would never be removed.
         self.loads.record_answer(worker, work, seconds)
-        self._paces.record(worker, seconds)
+        self._event_intervals.record(worker, seconds)
 
     def is_much_slower(self, worker: Worker) -> bool:
-        """Whether a worker has lately been much slower than the best of its service."""
-        return self._paces.is_much_slower(worker)
+        """Whether a worker has recently been much slower than the fastest of its service."""
+        return self._event_intervals.is_much_slower(worker)
 
     def time_saved_s(self, worker: Worker, other: Worker | None, num_units: float) -> float:
-        """How much sooner another worker would do so many units of work, in seconds.
+        """Return the time saved by moving work to another worker, in seconds.
 
         Args:
-            worker: The worker that does them now.
+            worker: The worker that does the work now.
             other: The other worker; ``None`` for the fastest of the service.
-            num_units: How many units.
+            num_units: Number of units of work.
         """
-        return self._paces.time_saved_s(worker, other, num_units)
+        return self._event_intervals.time_saved_s(worker, other, num_units)
 
     def record_busy(self, worker: Worker) -> None:
-        """A worker refused for lack of room."""
+        """Record that a worker refused a request because it is full."""
         if self._is_paused(worker):
-            return  # One of many requests that were refused together.
-        evidence = self._of(worker)
-        pause_s = min(MAX_BUSY_PAUSE_S, BUSY_PAUSE_S * 2**evidence.num_refusals_in_a_row)
-        evidence.num_refusals_in_a_row += 1
+            return  # Concurrent refusals count once.
+        observations = self._observations_of(worker)
+        pause_s = min(MAX_BUSY_PAUSE_S, BUSY_PAUSE_S * 2**observations.num_consecutive_refusals)
+        observations.num_consecutive_refusals += 1
         self._pause(worker, pause_s)
 
     def record_failure(self, worker: Worker) -> None:
-        """A worker broke an answer off or gave none."""
+        """Record that a worker sent an incomplete answer or none."""
         self.loads.record_failure(worker)
-        evidence = self._of(worker)
-        evidence.num_failures_in_a_row += 1
-        evidence.failure_score = evidence.failure_score * FAILURE_DECAY + 1.0
-        self._pause(worker, FAILURE_PAUSE_S * evidence.num_failures_in_a_row)
+        observations = self._observations_of(worker)
+        observations.num_consecutive_failures += 1
+        observations.failure_score = observations.failure_score * FAILURE_DECAY + 1.0
+        self._pause(worker, FAILURE_PAUSE_S * observations.num_consecutive_failures)
 
     def record_unreachable(self, worker: Worker) -> None:
-        """No connection to a worker could be made."""
+        """Record that no connection to a worker could be established."""
         self.loads.record_failure(worker)
-        evidence = self._of(worker)
-        evidence.num_failures_in_a_row += 1
-        evidence.failure_score = evidence.failure_score * FAILURE_DECAY + 1.0
-        pause_s = UNREACHABLE_PAUSE_S * 2 ** min(evidence.num_failures_in_a_row - 1, 5)
+        observations = self._observations_of(worker)
+        observations.num_consecutive_failures += 1
+        observations.failure_score = observations.failure_score * FAILURE_DECAY + 1.0
+        pause_s = UNREACHABLE_PAUSE_S * 2 ** min(observations.num_consecutive_failures - 1, 5)
         self._pause(worker, min(pause_s, MAX_UNREACHABLE_PAUSE_S))
 
     def record_not_run(self, worker: Worker, reason: NotRunReason) -> None:
-        """A worker certainly did not run a request."""
+        """Record that a worker certainly did not run a request."""
         if reason is NotRunReason.BUSY:
             self.record_busy(worker)
         elif reason is NotRunReason.UNREACHABLE:
@@ -305,54 +320,54 @@
             self.record_replaced(worker)
 
     def record_replaced(self, worker: Worker) -> None:
-        """Another incarnation answers at a worker's address: this one is gone."""
+        """Remove a worker at whose address another incarnation answers."""
         if self.is_current(worker.incarnation):
             self.remove(worker.id)
 
     def num_in_flight(self, worker: Worker) -> int:
-        """Return how many requests this node has at a worker."""
-        return self._of(worker).num_in_flight
+        """Return the number of requests that this node has in flight at a worker."""
+        return self._observations_of(worker).num_in_flight
 
     def queueing_factor(self, worker: Worker) -> float:
-        """How often a worker's slots are filled by what this node has there; 1 while they suffice.
+        """Return this node's requests in flight at a worker per slot, at least 1.
 
-        So many times longer than usual a request takes that is the last one sent there.
+        The latest request sent there takes about this many times longer than at an idle worker.
         """
         return max(1.0, self.num_in_flight(worker) / max(1, worker.capacity))
 
-    def _of(self, worker: Worker) -> _Evidence:
-        """What was seen of a worker; of one that is gone and at rest nothing is remembered."""
-        return self._evidence.get(worker.incarnation) or _Evidence()
+    def _observations_of(self, worker: Worker) -> _Observations:
+        """Return the observations of a worker; empty ones if none are kept."""
+        return self._observations.get(worker.incarnation) or _Observations()
 
-    def _drop_evidence_at_rest(self, worker: Worker) -> None:
-        """Forget a life that is over, unless requests are still in flight there."""
-        if self._of(worker).num_in_flight <= 0:
-            self._evidence.pop(worker.incarnation, None)
-            self._paces.remove(worker.incarnation)
+    def _remove_observations_if_idle(self, worker: Worker) -> None:
+        """Remove the observations of an ended incarnation that has no requests in flight."""
+        if self._observations_of(worker).num_in_flight <= 0:
+            self._observations.pop(worker.incarnation, None)
+            self._event_intervals.remove(worker.incarnation)
 
     def _pause(self, worker: Worker, pause_s: float) -> None:
-        evidence = self._of(worker)
-        evidence.paused_until_s = max(evidence.paused_until_s, now_s() + pause_s)
+        observations = self._observations_of(worker)
+        observations.paused_until_s = max(observations.paused_until_s, now_s() + pause_s)
 
     def _is_paused(self, worker: Worker) -> bool:
-        return now_s() < self._of(worker).paused_until_s
+        return now_s() < self._observations_of(worker).paused_until_s
 
     def _usable(self, workers: list[Worker]) -> list[Worker]:
-        """Those of some workers that answer, without much slower ones if there are others."""
+        """Return the workers that are not paused, without much slower ones if there are others."""
         ready = [worker for worker in workers if not self._is_paused(worker)]
         if any(not self.is_much_slower(worker) for worker in workers):
             return [worker for worker in ready if not self.is_much_slower(worker)]
         return ready
 
-    def _has_room(self, worker: Worker, limit: Callable[[Worker], int] | None) -> bool:
+    def _has_free_slot(self, worker: Worker, limit: Callable[[Worker], int] | None) -> bool:
         max_in_flight = max(1, worker.capacity) if limit is None else limit(worker)
-        return self._of(worker).num_in_flight < max_in_flight
+        return self._observations_of(worker).num_in_flight < max_in_flight
 
-    def _placing_cost(self, worker: Worker) -> tuple[float, float]:
-        evidence = self._of(worker)
-        load = (evidence.num_in_flight + 1) / max(1, worker.capacity)
-        cost = self._paces.placement_slowness(worker) + PLACING_LOAD_WEIGHT * load
-        cost += FAILURE_WEIGHT * evidence.failure_score
+    def _placement_cost(self, worker: Worker) -> tuple[float, float]:
+        observations = self._observations_of(worker)
+        load = (observations.num_in_flight + 1) / max(1, worker.capacity)
+        cost = self._event_intervals.placement_slowness(worker) + PLACING_LOAD_WEIGHT * load
+        cost += FAILURE_WEIGHT * observations.failure_score
         if worker.zone != self._zone:
             cost += REMOTE_ZONE_PENALTY
         return (cost, self._rng.random())
