--- a/src/hollowrack/jobs/__init__.py
+++ b/src/hollowrack/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: many items accepted together, run later, listed in a fixed order."""
+"""Batch jobs: items accepted together, run later, their results listed in a fixed order."""
--- a/src/hollowrack/jobs/lengths.py
+++ b/src/hollowrack/jobs/lengths.py
@@ -1,13 +1,13 @@
-"""How many events items will have, from what callers expect and from items that have ended."""
+"""Estimate of the number of events of an item, from expected tokens and finished items."""
 
-# Estimates follow the latest items: what is older counts half after so many more.
+# Half-life of a sample's weight.
 NUM_ITEMS_REMEMBERED = 100
-# An item that is longer than expected goes on for this share of what it has, as far as known.
+# An item beyond its estimate is expected to generate this fraction of its events again.
 OVERRUN_SHARE = 0.25
 
 
 class LengthEstimate:
-    """Turns expected tokens into events, learnt from the items that have ended."""
+    """Converts expected tokens to events by averages with exponential decay over finished items."""
 
     def __init__(self) -> None:
         self._num_tokens = 0.0
@@ -15,42 +15,42 @@
         self._num_items = 0.0
 
     def note(self, expected_tokens: int, num_events: int) -> None:
-        """An item has ended.
+        """Add a finished item.
 
         Args:
-            expected_tokens: How many tokens its caller had expected; 0 if that was not told.
-            num_events: How many events it had.
+            expected_tokens: Length stated by its caller; 0 if none was.
+            num_events: Events that it generated.
         """
-        keep = 0.5 ** (1 / NUM_ITEMS_REMEMBERED)
-        self._num_items = self._num_items * keep + 1
-        self._num_events = self._num_events * keep + num_events
-        self._num_tokens = self._num_tokens * keep + expected_tokens
+        decay = 0.5 ** (1 / NUM_ITEMS_REMEMBERED)
+        self._num_items = self._num_items * decay + 1
+        self._num_events = self._num_events * decay + num_events
+        self._num_tokens = self._num_tokens * decay + expected_tokens
 
     def num_events_left(self, expected_tokens: int, num_events: int) -> float:
-        """Estimate how many events an item has before it.
+        """Estimate how many events an item has still to generate.
 
         Args:
-            expected_tokens: How many tokens its caller expects; 0 if that is not told.
-            num_events: How many events it has.
+            expected_tokens: Length stated by its caller; 0 if none was.
+            num_events: Events generated so far.
         """
         return max(self._num_expected(expected_tokens) - num_events, OVERRUN_SHARE * num_events)
 
     def num_tokens_left(self, expected_tokens: int, num_events: int) -> int:
-        """Estimate how many tokens an item has before it, in its caller's terms."""
+        """Estimate how many tokens are left of an item, counted as in its expected length."""
         if not num_events or not self._num_events:
             return expected_tokens
-        tokens_an_event = self._num_tokens / self._num_events
-        return round(tokens_an_event * self.num_events_left(expected_tokens, num_events))
+        tokens_per_event = self._num_tokens / self._num_events
+        return round(tokens_per_event * self.num_events_left(expected_tokens, num_events))
 
     def next_estimate_at(self, expected_tokens: int, num_events: int) -> float:
-        """Return at how many events an item will have outgrown its estimate.
+        """Return the number of events beyond which an item exceeds its present estimate.
 
         Args:
-            expected_tokens: How many tokens its caller expects; 0 if that is not told.
-            num_events: How many events it has.
+            expected_tokens: Length stated by its caller; 0 if none was.
+            num_events: Events generated so far.
 
         Returns:
-            A number of events; infinite while nothing is known of lengths.
+            A number of events; infinite before the first item has finished.
         """
         if not self._num_items:
             return float("inf")
--- a/src/hollowrack/jobs/pace.py
+++ b/src/hollowrack/jobs/pace.py
@@ -1,28 +1,31 @@
-"""How fast one place at a worker generates, learnt from the items that have ended."""
+"""Estimate of the throughput of one slot, updated with each finished item."""
 
-# Follows workers that turn slow within a few dozen items: what is older counts half.
+# Half-life of a sample's weight, so that the estimate follows workers that become slow.
 NUM_ITEMS_REMEMBERED = 30
 
 
 class PaceEstimate:
-    """Tokens in callers' terms that come out of one place in a second."""
+    """Tokens per second of one slot, an average with exponential decay.
+
+    Tokens are counted as in the callers' expected lengths.
+    """
 
     def __init__(self) -> None:
         self._num_tokens = 0.0
-        self._seconds = 0.0
+        self._duration_s = 0.0
 
-    def note(self, num_tokens: float, seconds: float) -> None:
-        """An item has ended.
+    def note(self, num_tokens: float, duration_s: float) -> None:
+        """Add a finished item.
 
         Args:
-            num_tokens: How many tokens its caller had expected of what was generated here.
-            seconds: How long it had places at workers, in seconds.
+            num_tokens: Expected tokens of the part of its text that was generated here.
+            duration_s: Time for which it held slots, in seconds.
         """
-        keep = 0.5 ** (1 / NUM_ITEMS_REMEMBERED)
-        self._num_tokens = self._num_tokens * keep + num_tokens
-        self._seconds = self._seconds * keep + seconds
+        decay = 0.5 ** (1 / NUM_ITEMS_REMEMBERED)
+        self._num_tokens = self._num_tokens * decay + num_tokens
+        self._duration_s = self._duration_s * decay + duration_s
 
     @property
     def tokens_per_s(self) -> float:
-        """Tokens a second; 0 while nothing is known."""
-        return self._num_tokens / self._seconds if self._seconds > 0.0 else 0.0
+        """Tokens per second; 0 before the first item has finished."""
+        return self._num_tokens / self._duration_s if self._duration_s > 0.0 else 0.0
--- a/src/hollowrack/jobs/progress.py
+++ b/src/hollowrack/jobs/progress.py
@@ -1,9 +1,9 @@
-"""What unfinished items have generated so far, kept so that it outlives the owner of their job.
+"""Storage for the events of unfinished items, from which a job's next owner resumes them.
 
-Each owner writes records of its own under a key of its own, so owners never overwrite each other.
-A record holds only what came since the one before. Events of one item are joined only within one
-run of one writer: texts of two runs are never mixed. Records are hints that save work: a missing or
-late one costs time and nothing else, as results are listed under conditions of their own.
+Each owner writes records under keys of its own, so owners never overwrite each other. A record
+holds only the events since the previous one. Events of an item are joined only within one run of
+one writer: texts of two runs are never mixed. A missing or late record only costs repeated work,
+because results are listed under their own conditions.
 """
 
 from collections.abc import Iterable, Sequence
@@ -20,19 +20,19 @@
 from hollowrack.messages.codec import message
 
 PROGRESS_PREFIX = "hollowrack/progress/"
-# One record stays well below what the store takes as one value.
+# Well below the store's limit for one value.
 MAX_RECORD_BYTES = 400_000
 
 
 @message("job.kept-event")
 @dataclass(frozen=True)
 class KeptEvent:
-    """One event as it is kept.
+    """One event as it is stored.
 
     Attributes:
-        number: Its identifier in its stream.
-        data: Its data.
-        weight_version: Version that made it; ``None`` if the worker did not tell.
+        number: Identifier in its event stream.
+        data: Payload of the event.
+        weight_version: Weight version that generated it; ``None`` if the worker did not state it.
     """
 
     number: int
@@ -43,13 +43,13 @@
 @message("job.item-progress")
 @dataclass(frozen=True)
 class ItemProgress:
-    """Events of one item, from a position on.
+    """Consecutive events of one item.
 
     Attributes:
-        item_id: The item.
-        run: Which run of the item at its writer, counted from 0.
-        position: How many events of that run come before these.
-        events: The events.
+        item_id: Identifier of the item in its job.
+        run: Run of the item at its writer, counted from 0; each restart begins a new one.
+        position: Number of events of that run that precede these.
+        events: The events in order.
     """
 
     item_id: str
@@ -61,7 +61,7 @@
 @message("job.progress")
 @dataclass(frozen=True)
 class ProgressRecord:
-    """What some items of a job have generated since their writer's record before."""
+    """Events of some items of a job since the writer's previous record."""
 
     items: tuple[ItemProgress, ...]
 
@@ -69,23 +69,23 @@
 @message("job.remainder")
 @dataclass(frozen=True)
 class JobRemainder:
-    """What the former owner of a job holds that may not be in the store.
+    """State of a job at its former owner that may be missing from the store.
 
     Attributes:
-        items: All events of the items that it had begun.
-        results: Results that are not listed.
+        items: All events of the unfinished items that have started.
+        results: Results that are not listed yet.
     """
 
     items: tuple[ItemProgress, ...] = ()
     results: tuple[ItemResult, ...] = ()
 
 
-# Events of unfinished items, by item identifier.
+# Stored events of unfinished items, by item identifier.
 KeptEvents = dict[str, tuple[VersionedEvent, ...]]
 
 
 def kept_event(event: VersionedEvent) -> KeptEvent:
-    """Return an event as it is kept."""
+    """Convert an event to its stored form."""
     return KeptEvent(event.event.number, event.event.data, event.weight_version)
 
 
@@ -94,11 +94,11 @@
 
 
 class ProgressLog:
-    """Writes and reads the progress of jobs.
+    """Writes and reads the progress records of jobs.
 
     Args:
         store: The coordination store.
-        owner: Name and incarnation of this process.
+        owner: Owner name of this process; determines the keys that it writes.
     """
 
     def __init__(self, store: CoordinationStore, owner: str) -> None:
@@ -106,22 +106,22 @@
         self._writer = xxhash.xxh64_hexdigest(owner.encode())
 
     def record(self, job_id: str, number: int, items: Sequence[ItemProgress]) -> Put:
-        """Return the write of one record.
+        """Build the write of one record.
 
         Args:
-            job_id: The job.
-            number: Number of the record among those of this process; names it.
-            items: What came since the record before.
+            job_id: Identifier of the job.
+            number: Number of the record among those of this process; part of its key.
+            items: Events since the previous record.
         """
         key = f"{progress_prefix(job_id)}{self._writer}/{number:06d}"
         return Put(key, codec.encode(ProgressRecord(tuple(items))))
 
     async def save(self, record: Put) -> bool:
-        """Write one record; returns whether that is certain."""
+        """Write one record; ``False`` if the write failed or its outcome is unknown."""
         return isinstance(await self._store.transact([], [record]), Committed)
 
     async def load(self, job_id: str) -> list[list[ItemProgress]]:
-        """Read what each writer has kept of a job's items; empty if the store cannot tell."""
+        """Read the records of each writer of a job; empty if the store is unavailable."""
         prefix = progress_prefix(job_id)
         listing = await self._store.list_prefix(prefix)
         if not isinstance(listing, Listing):
@@ -139,14 +139,14 @@
     """Join the records of each writer, and return the longest run of each item.
 
     Args:
-        written: What each writer has written, in the order of its records.
+        written: Records of each writer, in the order in which it wrote them.
     """
     longest: KeptEvents = {}
     for parts in written:
         runs: dict[tuple[str, int], list[KeptEvent]] = {}
         for part in parts:
             events = runs.setdefault((part.item_id, part.run), [])
-            # A record that was written twice repeats events; one that is missing ends the run.
+            # A record that was written twice repeats events; a missing one ends the run.
             if part.position <= len(events):
                 events.extend(part.events[len(events) - part.position :])
         for (item_id, _), events in runs.items():
--- a/src/hollowrack/jobs/progress_saver.py
+++ b/src/hollowrack/jobs/progress_saver.py
@@ -1,4 +1,4 @@
-"""Saves what a job's running items generate, now and then, for whoever owns the job next."""
+"""Periodic saving of the events of a job's running items, for its next owner."""
 
 import asyncio
 from collections.abc import Callable, Collection
@@ -17,19 +17,18 @@
 
 SAVE_INTERVAL_S = 1.5
 MIN_SLEEP_S = 0.05
-# A store that fails is left alone for this long; every call to it is paid for.
 FAILURE_PAUSE_S = 4.0
-# Shorter texts are made again as fast as they are read.
+# Generating shorter texts again takes no longer than loading them.
 MIN_EVENTS_SAVED = 16
 
 
 @dataclass(frozen=True)
 class UnsavedProgress:
-    """What is not saved yet.
+    """Events that are not saved yet.
 
     Attributes:
-        record: The write that saves it.
-        items: What it holds.
+        record: The write that saves them.
+        items: The events by item, as the record contains them.
     """
 
     record: Put
@@ -37,12 +36,12 @@
 
 
 class ProgressSaver:
-    """Saves the progress of one job while it runs here.
+    """Saves the progress of one job while this node owns it.
 
     Args:
-        job_id: The job.
-        log: Where to save it.
-        runners: Returns the items that run now.
+        job_id: Identifier of the job.
+        log: Access to the stored progress records.
+        runners: Returns the runners of the unfinished items.
     """
 
     def __init__(
@@ -52,22 +51,22 @@
         self._log = log
         self._runners = runners
         self._num_records = 0
-        # Number of events saved, by item and run.
-        self._saved: dict[tuple[str, int], int] = {}
-        self._saved_s = now_s()
+        # Number of saved events by item and run.
+        self._num_saved: dict[tuple[str, int], int] = {}
+        self._last_save_s = now_s()
 
     async def run(self) -> None:
-        """Save again and again, until cancelled."""
+        """Save periodically until cancelled."""
         while True:
-            await asyncio.sleep(max(MIN_SLEEP_S, self._saved_s + SAVE_INTERVAL_S - now_s()))
-            if now_s() - self._saved_s < SAVE_INTERVAL_S:
+            await asyncio.sleep(max(MIN_SLEEP_S, self._last_save_s + SAVE_INTERVAL_S - now_s()))
+            if now_s() - self._last_save_s < SAVE_INTERVAL_S:
                 continue
             if not await self.save():
                 await asyncio.sleep(FAILURE_PAUSE_S)
 
     async def save(self) -> bool:
-        """Save what is new of all long items; returns whether nothing is left unsaved."""
-        self._saved_s = now_s()
+        """Save the new events of all long items; ``False`` if a write failed."""
+        self._last_save_s = now_s()
         while (unsaved := self.unsaved()) is not None:
             if not await self._log.save(unsaved.record):
                 return False
@@ -75,28 +74,28 @@
         return True
 
     def unsaved(self, min_age_s: float = 0.0) -> UnsavedProgress | None:
-        """Return what is new of long items, as much as fits one record; ``None`` if nothing is.
+        """Return the new events of long items that fit one record; ``None`` if there are none.
 
         Args:
-            min_age_s: Return nothing if something was saved more recently than this.
+            min_age_s: Return ``None`` if the last save is more recent than this, in seconds.
         """
-        if now_s() - self._saved_s < min_age_s:
+        if now_s() - self._last_save_s < min_age_s:
             return None
         items = self._new_parts()
         if not items:
             return None
-        # Each has a key of its own: one that is written late must not replace a newer one.
+        # Every record has a key of its own, so that a late write cannot replace a newer record.
         record = self._log.record(self._job_id, self._num_records, items)
         self._num_records += 1
         return UnsavedProgress(record, tuple(items))
 
     def note_saved(self, progress: UnsavedProgress) -> None:
-        """A record was written."""
-        self._saved_s = now_s()
+        """Record that a write has succeeded."""
+        self._last_save_s = now_s()
         for part in progress.items:
             key = (part.item_id, part.run)
             end = part.position + len(part.events)
-            self._saved[key] = max(end, self._saved.get(key, 0))
+            self._num_saved[key] = max(end, self._num_saved.get(key, 0))
 
     def _new_parts(self) -> list[ItemProgress]:
         parts: list[ItemProgress] = []
@@ -104,7 +103,7 @@
         for runner in self._runners():
             if runner.is_generated or len(runner.events) < MIN_EVENTS_SAVED:
                 continue
-            position = self._saved.get((runner.item_id, runner.num_restarts), 0)
+            position = self._num_saved.get((runner.item_id, runner.num_restarts), 0)
             events = tuple(kept_event(event) for event in runner.events[position:])
             num_bytes += _size(events)
             if parts and num_bytes > MAX_RECORD_BYTES:
--- a/src/hollowrack/jobs/types.py
+++ b/src/hollowrack/jobs/types.py
@@ -1,4 +1,4 @@
-"""Jobs, their items and results. All of them are stored, so all are registered messages."""
+"""Stored messages for jobs, their items and their results."""
 
 from dataclasses import dataclass
 from urllib.parse import quote
@@ -12,10 +12,10 @@
     """The request that scores an item's text.
 
     Attributes:
-        request_id: Its identifier.
+        request_id: Identifier of the request at the scorer.
         host: Host of its route.
         target: Path and query.
-        body: Its body.
+        body: Request body, sent as it is.
     """
 
     request_id: str
@@ -27,16 +27,16 @@
 @message("job.item")
 @dataclass(frozen=True)
 class JobItem:
-    """One generation of a job.
+    """One generation request of a job.
 
     Attributes:
-        id: Its identifier, unique in the job.
+        id: Identifier, unique in the job.
         target: Path and query at the worker.
-        headers: Headers as name and value.
-        body: The body.
-        group: Items of one group share their prompt; empty if it belongs to none.
-        scorer: How its text is scored; ``None`` if it is not.
-        expected_tokens: How many tokens will probably come out; 0 if nobody can tell.
+        headers: Name and value pairs.
+        body: Request body sent to the worker.
+        group: Group of items that share a prompt; empty if it belongs to none.
+        scorer: Request that scores the text; ``None`` if it is not scored.
+        expected_tokens: Length estimated by the caller; 0 if it stated none.
     """
 
     id: str
@@ -54,16 +54,16 @@
     """A batch of items.
 
     Attributes:
-        id: Its identifier.
+        id: Identifier in the store, see :func:`scoped_job_id`.
         host: Host of its route.
         target: Path it was submitted under.
-        items: Its items.
-        model: Model whose versions bind it; empty if none do.
-        min_version: Oldest weight version that may make its tokens.
-        num_desired_groups: How many whole groups its trainer waits for.
-        tenant: Name of the tenant that submitted it; ``None`` if it needed no key.
-        configuration_version: Version of the configuration under which it was accepted; 0 if that
-            is not known.
+        items: Items in the caller's order.
+        model: Model whose weight versions restrict the workers; empty if none do.
+        min_version: Oldest weight version that may generate its tokens.
+        num_desired_groups: How many complete groups the trainer waits for; 0 for all items.
+        tenant: Name of the tenant that submitted it; ``None`` where requests need no key.
+        configuration_version: Version of the configuration under which it was accepted; 0 if
+            unknown.
     """
 
     id: str
@@ -78,14 +78,14 @@
 
 
 def scoped_job_id(tenant: str | None, caller_job_id: str) -> str:
-    """Return the identifier under which a job is kept.
+    """Return the identifier under which a job is stored.
 
-    Callers choose identifiers. A tenant's are in a space of its own, so that it can neither find
-    nor end another one's job, nor learn that there is one.
+    Callers choose identifiers. Each tenant has a namespace of its own, so that it can neither
+    find nor end another tenant's job, nor learn that it exists.
 
     Args:
         tenant: Name of the tenant; ``None`` where requests need no key.
-        caller_job_id: The caller's identifier.
+        caller_job_id: Identifier chosen by the caller.
     """
     return caller_job_id if tenant is None else f"{quote(tenant, safe='')}/{caller_job_id}"
 
@@ -93,14 +93,14 @@
 @message("job.result")
 @dataclass(frozen=True)
 class ItemResult:
-    """How an item ended.
+    """Result of one item.
 
     Attributes:
-        item_id: The item.
-        is_complete: Whether the text is whole; otherwise the item was given up.
+        item_id: Identifier of the item in its job.
+        is_complete: Whether the text is complete; otherwise the item was given up.
         text: Data of all events, separated by line feeds.
-        versions: Every weight version that made an event.
-        score: Signature of the scorer's answer.
+        versions: Every weight version that generated an event, ascending.
+        score: Signature of the scorer's answer; ``None`` if the item is not scored or given up.
     """
 
     item_id: str
@@ -113,6 +113,6 @@
 @message("job.results")
 @dataclass(frozen=True)
 class ResultBatch:
-    """Results that were listed together, in order."""
+    """Results that were listed by one write, in order."""
 
     results: tuple[ItemResult, ...]
