--- a/src/hollowrack/jobs/hosting.py
+++ b/src/hollowrack/jobs/hosting.py
@@ -1,9 +1,9 @@
-"""Which nodes hold a session: a few of each zone, which may own jobs and lead.
+"""Selection of host nodes: the few nodes of each zone that hold a session in the store.
 
-A session costs the store two renewals a second and an entry that every node follows, so its price
-would grow with the nodes. Any node forwards requests and accepts calls about jobs; only those with
-a session own jobs or lead. Each node decides for itself from the entries that it sees, without
-agreement: one too many is harmless and steps back, one too few is filled after a pause.
+A session costs the store two renewals per second and an entry that every node follows, so that
+one per node would not scale. Any node forwards requests and accepts calls about jobs; only hosts
+own jobs or lead. Each node decides on its own from the entries that it sees: a surplus host is
+harmless and closes its session, a missing host is replaced after a delay.
 """
 
 import asyncio
@@ -18,46 +18,46 @@
 from hollowrack.jobs.placement import LARGE_SHARE, NodeEntry
 from hollowrack.tasks import cancel_all
 
-# With two of them gone a zone still has one.
+# Two hosts of a zone may fail at the same time.
 NUM_HOSTS_PER_ZONE = 3
-# Changes may take this long by way of a host: the age of its mirror at most, the check of it, a
-# question to a store that has to be found to answer, and as much again for a host that hangs.
+# Longest propagation of a change through a host: the greatest age of its mirror, the check of it,
+# a request to the store including failover, and the same again if a host hangs.
 MIN_BOUND_WITHOUT_SESSION_S = 3.0
 LOOK_S = 0.1
-# Nodes that have just started apply in the order of their size: this divided by their cores, in
-# seconds. Half a core needs 0.8 s to start and waits 0.8 s, by when larger ones are seen.
+# Starting nodes wait for this divided by their number of cores, so that larger nodes become hosts
+# first: half a core waits 0.8 s, about the time that it takes to start.
 START_WAIT_CORE_S = 0.4
 STARTING_AGE_S = 10.0
-# A host whose lease has lapsed is back within the longest pause between grants, about 1.6 s.
+# A host whose lease has expired renews it within the longest retry interval, about 1.6 s.
 REPLACEMENT_WAIT_S = 2.0
-# An application is seen by the others after about half a second, and some dozens of nodes may want
-# the same place: they spread over this time if the zone has a host, else over the shorter one.
+# A new session is seen by other nodes after about 0.5 s, and dozens of nodes may try to open one.
+# The shorter jitter applies while the zone has no host.
 MAX_JITTER_S = 10.0
 MAX_URGENT_JITTER_S = 1.5
-# A host that is not needed any more steps back after this time without a duty.
+# A surplus host closes its session after this time without owning jobs or leading.
 SURPLUS_S = 5.0
 
 
 def num_hosts_per_zone(change_bound_s: float) -> int | None:
     """Return how many nodes of a zone hold a session; ``None`` for all.
 
-    A node without one hears of changes by way of a host, which takes longer. Only deployments that
-    are large give changes that much time.
+    A node without a session receives changes through a host, which takes longer. Only settings
+    for large deployments allow that much time.
 
     Args:
-        change_bound_s: How long changes may take to reach a node, in seconds.
+        change_bound_s: Longest time for a change to reach a node, in seconds.
     """
     return NUM_HOSTS_PER_ZONE if change_bound_s >= MIN_BOUND_WITHOUT_SESSION_S else None
 
 
 def is_wanted(node: str, own: NodeEntry, hosts: Mapping[str, NodeEntry], num_hosts: int) -> bool:
-    """Whether a node without a session should hold one.
+    """Whether a node without a session should open one.
 
     Args:
-        node: The node.
-        own: What it says of itself.
-        hosts: What the processes with a session say of themselves, by owner name.
-        num_hosts: How many hosts a zone has.
+        node: Name of the node.
+        own: Entry that it publishes.
+        hosts: Entries of the processes with a session by owner name.
+        num_hosts: Desired number of hosts of a zone.
     """
     others = _others_in_zone(node, own, hosts)
     as_large = [entry for entry in others.values() if entry.num_cores >= _as_large(own)]
@@ -65,28 +65,28 @@
 
 
 def is_surplus(node: str, own: NodeEntry, hosts: Mapping[str, NodeEntry], num_hosts: int) -> bool:
-    """Whether enough others of its zone are larger, or as large and earlier by name.
+    """Whether enough other hosts of its zone are larger, or as large and first by name.
 
     Args:
-        node: The node.
-        own: What it says of itself.
-        hosts: What the processes with a session say of themselves, by owner name.
-        num_hosts: How many hosts a zone has.
+        node: Name of the node.
+        own: Entry that it publishes.
+        hosts: Entries of the processes with a session by owner name.
+        num_hosts: Desired number of hosts of a zone.
     """
     others = _others_in_zone(node, own, hosts)
-    before = [
+    preceding = [
         owner
         for owner, entry in others.items()
         if entry.num_cores * LARGE_SHARE > own.num_cores
         or (entry.num_cores >= _as_large(own) and node_of_owner(owner) < node)
     ]
-    return len(before) >= num_hosts
+    return len(preceding) >= num_hosts
 
 
 def _others_in_zone(
     node: str, own: NodeEntry, hosts: Mapping[str, NodeEntry]
 ) -> dict[str, NodeEntry]:
-    """Hosts of the same zone that are not about to stop."""
+    """Other hosts of the same zone that are not stopping."""
     return {
         owner: entry
         for owner, entry in hosts.items()
@@ -99,17 +99,17 @@
 
 
 class HostRole:
-    """Opens and closes the session of one node.
+    """Opens and closes the session of one node, depending on the other hosts of its zone.
 
     Args:
-        owner: Name and incarnation of the node's process.
-        own: Returns what it says of itself.
-        session: Its session.
-        live: The processes with a session, as this node sees them.
-        is_live_loaded: Set once that view has been read.
-        has_duties: Whether this node owns a job or leads.
-        led_last: Whether this node led last.
-        num_hosts: How many nodes of a zone hold a session; ``None`` for all.
+        owner: Owner name (node and incarnation) of this process.
+        own: Returns the entry that this node publishes.
+        session: Session that is opened and closed.
+        live: Cluster state as seen by this node.
+        is_live_loaded: Set once the cluster state has been read.
+        has_duties: Returns whether this node owns a job or leads.
+        led_last: Returns whether this node was the last leader.
+        num_hosts: Desired number of hosts of a zone; ``None`` if every node is one.
         rng: Source of the jitter.
     """
 
@@ -136,74 +136,74 @@
         self._num_hosts = num_hosts
         self._rng = rng
         self._started_s = 0.0
-        # Since when a change of role is indicated, on the loop's clock.
+        # Time since which a change of role has been due, on the event loop's clock.
         self._due_since_s: float | None = None
-        # This node's place among those that wait, 0 to 1.
-        self._place = 0.0
+        # Random fraction of the jitter, drawn anew for each change of role.
+        self._jitter_fraction = 0.0
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start deciding."""
+        """Start the periodic check."""
         self._started_s = now_s()
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop deciding; the session stays as it is."""
+        """Stop the periodic check; the session stays as it is."""
         await cancel_all(self._task)
 
     async def _run(self) -> None:
         if self._num_hosts is None:
-            self._open("every node has one")
+            self._open("every node holds one")
             return
         await self._is_live_loaded.wait()
         while True:
             if self._session.is_held:
-                await self._step_back_if_surplus(self._num_hosts)
+                await self._close_if_surplus(self._num_hosts)
             else:
-                self._apply_if_wanted(self._num_hosts)
+                self._open_if_needed(self._num_hosts)
             await asyncio.sleep(LOOK_S)
 
-    def _apply_if_wanted(self, num_hosts: int) -> None:
-        is_wanted_now = is_wanted(self._node, self._own(), self._live.nodes, num_hosts)
+    def _open_if_needed(self, num_hosts: int) -> None:
+        is_needed = is_wanted(self._node, self._own(), self._live.nodes, num_hosts)
         if self._has_duties():
-            self._open("it has duties")
+            self._open("this node owns jobs or leads")
         elif self._is_starting and self._was_host():
-            self._open("its last process had one")
-        elif self._is_due(is_wanted_now, self._apply_wait_s()):
-            self._open("its zone has too few")
+            self._open("an earlier process of this node held one")
+        elif self._is_due(is_needed, self._opening_delay_s()):
+            self._open("the zone has too few hosts")
 
     def _open(self, reason: str) -> None:
-        logging.info("session is opened: %s", reason)
+        logging.info("opening the session with the store: %s", reason)
         self._due_since_s = None
         self._session.start()
 
-    async def _step_back_if_surplus(self, num_hosts: int) -> None:
-        is_surplus_now = not self._has_duties() and is_surplus(
+    async def _close_if_surplus(self, num_hosts: int) -> None:
+        is_indicated = not self._has_duties() and is_surplus(
             self._node, self._own(), self._live.nodes, num_hosts
         )
-        if self._is_due(is_surplus_now, SURPLUS_S):
-            logging.info("session is closed: its zone has enough")
+        if self._is_due(is_indicated, SURPLUS_S):
+            logging.info("closing the session with the store: the zone has enough hosts")
             self._due_since_s = None
             await self._session.stop()
 
     def _is_due(self, is_indicated: bool, wait_s: float) -> bool:
-        """Whether a change has been indicated without a break for the time it has to be."""
+        """Whether a change of role has been indicated continuously for ``wait_s`` seconds."""
         if not is_indicated:
             self._due_since_s = None
             return False
         if self._due_since_s is None:
             self._due_since_s = now_s()
-            self._place = self._rng.random()
+            self._jitter_fraction = self._rng.random()
         return now_s() - self._due_since_s >= wait_s
 
-    def _apply_wait_s(self) -> float:
+    def _opening_delay_s(self) -> float:
         own = self._own()
         has_host = bool(_others_in_zone(self._node, own, self._live.nodes))
-        jitter_s = self._place * (MAX_JITTER_S if has_host else MAX_URGENT_JITTER_S)
+        jitter_s = self._jitter_fraction * (MAX_JITTER_S if has_host else MAX_URGENT_JITTER_S)
         if not self._is_starting:
             return REPLACEMENT_WAIT_S + jitter_s
-        size_wait_s = START_WAIT_CORE_S / max(own.num_cores, START_WAIT_CORE_S)
-        return size_wait_s * (1.0 + jitter_s)
+        size_delay_s = START_WAIT_CORE_S / max(own.num_cores, START_WAIT_CORE_S)
+        return size_delay_s * (1.0 + jitter_s)
 
     @property
     def _is_starting(self) -> bool:
--- a/src/hollowrack/jobs/live_state.py
+++ b/src/hollowrack/jobs/live_state.py
@@ -1,6 +1,6 @@
-"""What all nodes keep in view: who lives, who leads, which jobs are open and which were ended.
+"""Cluster state that every node follows: live processes, the leader, open and ended jobs.
 
-All of it lies below one prefix of the coordination store, so that one mirror a node follows it.
+All keys share one prefix of the coordination store, so that each node needs only one mirror.
 """
 
 import asyncio
@@ -28,31 +28,32 @@
 CAPACITY_KEY = LIVE_PREFIX + "capacity-plan"
 OWNERS_PREFIX = LIVE_PREFIX + "nodes/"
 SUSPECTS_PREFIX = LIVE_PREFIX + "suspects/"
-# Nodes that are asked for changes before the store is; each may cost its whole time-out.
+# Nodes that are asked for changes before the store; each may take its full timeout.
 NUM_SOURCES = 3
 NUM_NEAR_SOURCES = 2
-# Processes whose entry is gone may still answer: these are remembered, the latest ones.
+# Processes whose entry is gone may still answer; the most recent ones are remembered.
 MAX_FORMER_NODES = 64
-# Finished jobs whose last owner is remembered: it still holds their results for readers.
+# Finished jobs whose last owner is remembered, because it can still serve their results.
 MAX_FINISHED_JOBS = 256
 MAX_LOGGED_KEY_LENGTH = 200
 
 
 class LiveState:
-    """The view of one node; fed by a mirror of :data:`LIVE_PREFIX`.
+    """Cluster state as seen by one node, updated by a mirror of :data:`LIVE_PREFIX`.
 
     Args:
-        owner: Name and incarnation of this node.
+        owner: Owner name (node and incarnation) of this process.
         zone: Zone of this node.
-        leadership: Hears of the leader keys.
-        on_ended: Called with each job that was ended.
+        leadership: Receives changes of the leader keys.
+        on_ended: Called with the identifier of each job that was ended.
         on_owned: Called with each unfinished job whenever its owner is written.
 
     Attributes:
-        nodes: What live processes say of themselves, by owner name.
+        nodes: Entries of live processes by owner name.
         open_jobs: Unfinished jobs by identifier.
-        ended_jobs: When this node heard of the end of each ended job, on the loop's clock.
-        last_owners: Who owned jobs that are no longer unfinished, the latest ones.
+        ended_jobs: Time at which this node received the end of each ended job, in seconds of the
+            event loop's clock.
+        last_owners: Owners of recently finished jobs by job identifier, oldest first.
     """
 
     def __init__(
@@ -74,24 +75,24 @@
         self._on_ended = on_ended
         self._on_owned = on_owned
         self._leader: str | None = None
-        self._job_seen = asyncio.Event()
-        self._lines = LineLimit()
+        self._new_job = asyncio.Event()
+        self._log_limiter = LineLimit()
 
     def take(self, key: str, item: StoredItem | None) -> None:
-        """Take in a key that was written, or removed (``None``)."""
+        """Apply a change of a key; ``None`` if the key was removed."""
         if key == LEADER_KEY:
             self._leader = None if item is None else self._read_owner(key, item.value)
             self._leadership.note(item)
         elif key == self._leadership.last_key:
             self._leadership.note_last(item)
         elif key.startswith(OWNERS_PREFIX):
-            self._take_node(key.removeprefix(OWNERS_PREFIX), item)
+            self._apply_node(key.removeprefix(OWNERS_PREFIX), item)
         elif key.startswith(OPEN_PREFIX):
-            self._take_open_job(job_id_of(key, OPEN_PREFIX), item)
+            self._apply_open_job(job_id_of(key, OPEN_PREFIX), item)
         elif key.startswith(ENDS_PREFIX):
-            self._take_end(job_id_of(key, ENDS_PREFIX), item)
+            self._apply_end(job_id_of(key, ENDS_PREFIX), item)
 
-    def _take_node(self, owner: str, item: StoredItem | None) -> None:
+    def _apply_node(self, owner: str, item: StoredItem | None) -> None:
         if item is None:
             former = self.nodes.pop(owner, None)
             if former is not None:
@@ -102,31 +103,31 @@
         entry = codec.decode(item.value).value_or(None)
         self.nodes[owner] = entry if isinstance(entry, NodeEntry) else NodeEntry("")
 
-    def _take_open_job(self, job_id: str, item: StoredItem | None) -> None:
+    def _apply_open_job(self, job_id: str, item: StoredItem | None) -> None:
         if item is None:
-            self._forget_open_job(job_id)
+            self._remove_open_job(job_id)
         else:
             job = OpenJob(job_id, self._read_job_owner(job_id, item.value), item.revision)
             self.open_jobs[job_id] = job
-            self._job_seen.set()
-            self._job_seen = asyncio.Event()
+            self._new_job.set()
+            self._new_job = asyncio.Event()
             self._on_owned(job)
 
     def _read_job_owner(self, job_id: str, value: bytes) -> str:
-        """Return whom a job's entry names; if that cannot be read, whoever was known to own it."""
+        """Return the owner of a job's entry; the last known one if the entry is unreadable."""
         owner = self._read_owner(OPEN_PREFIX + job_id, value)
         known = self.open_jobs.get(job_id)
         return known.owner if known is not None and not is_owner(value) else owner
 
     def _read_owner(self, key: str, value: bytes) -> str:
-        """Return whom a key names; one that cannot be read is nobody, and is logged."""
-        if not is_owner(value) and self._lines.allows():
-            detail = "the owner is no text."
+        """Return the owner that a key names; an unreadable one is logged and matches no process."""
+        if not is_owner(value) and self._log_limiter.allows():
+            detail = "the owner name is empty or not valid UTF-8."
             place = ascii(key)[:MAX_LOGGED_KEY_LENGTH]
             logging.error("%s", Problem(ResultCode.ENTRY_UNREADABLE, detail, place))
         return owner_in(value)
 
-    def _forget_open_job(self, job_id: str) -> None:
+    def _remove_open_job(self, job_id: str) -> None:
         job = self.open_jobs.pop(job_id, None)
         if job is None:
             return
@@ -134,7 +135,7 @@
         while len(self.last_owners) > MAX_FINISHED_JOBS:
             self.last_owners.popitem(last=False)
 
-    def _take_end(self, job_id: str, item: StoredItem | None) -> None:
+    def _apply_end(self, job_id: str, item: StoredItem | None) -> None:
         if item is None:
             self.ended_jobs.pop(job_id, None)
             return
@@ -142,9 +143,9 @@
         self._on_ended(job_id)
 
     def job_owners(self) -> set[str]:
-        """Return the live processes that own unfinished jobs, with this one only if it owns one.
+        """Return the live processes that own unfinished jobs.
 
-        A node runs one process at a time: earlier ones of this node have ended.
+        A node runs one process at a time, so earlier processes of this node are left out.
         """
         node = node_of_owner(self._owner)
         owners = {job.owner for job in self.open_jobs.values()}
@@ -152,37 +153,38 @@
         return others | (owners & {self._owner})
 
     def leader(self) -> str | None:
-        """The process that leads; ``None`` if none is known to."""
+        """Owner name of the leader; ``None`` if none is known."""
         return self._leader
 
     def leader_address(self) -> str | None:
-        """Where the leader is reached; ``None`` if this node leads or the leader is not known."""
+        """Address of the leader; ``None`` if this node leads or the leader is unknown."""
         return None if self._leader is None else self._address_of(self._leader)
 
     def observer_sources(self) -> list[str]:
-        """Where a node without a session may ask for changes: a few of the nodes with one.
+        """Addresses of nodes with a session that a node without one asks for changes.
 
-        They stay the same while they live, and differ between nodes. The nearest come first, and
-        the last one is in another zone, so that the loss of a zone's nodes is got over at once.
+        The choice is stable while these nodes live, and differs between asking nodes to spread the
+        load. Nodes of the same zone come first; the last one is in another zone, if there is one,
+        so that the loss of all nodes of a zone causes no delay.
         """
         ranked = self._ranked_owners()
-        near = [owner for owner in ranked if self.nodes[owner].zone == self._zone]
-        far = [owner for owner in ranked if self.nodes[owner].zone != self._zone]
-        chosen = [*near[:NUM_NEAR_SOURCES], *far][:NUM_SOURCES]
-        return [self.nodes[owner].address for owner in chosen]
+        in_zone = [owner for owner in ranked if self.nodes[owner].zone == self._zone]
+        other_zones = [owner for owner in ranked if self.nodes[owner].zone != self._zone]
+        selected = [*in_zone[:NUM_NEAR_SOURCES], *other_zones][:NUM_SOURCES]
+        return [self.nodes[owner].address for owner in selected]
 
     def leader_and_deputy(self) -> dict[str, str]:
-        """Where the leader and one more process with a session are reached, by owner name.
+        """Addresses, by owner name, of the leader and of one other process with a session.
 
-        The other one is the nearest; this process is neither.
+        The other one is preferably in the same zone. This process is never included.
         """
-        deputies = [owner for owner in self._ranked_owners() if owner != self._leader][:1]
+        fallbacks = [owner for owner in self._ranked_owners() if owner != self._leader][:1]
         leaders = [] if self._leader is None else [self._leader]
-        addresses = {owner: self._address_of(owner) for owner in [*leaders, *deputies]}
+        addresses = {owner: self._address_of(owner) for owner in [*leaders, *fallbacks]}
         return {owner: address for owner, address in addresses.items() if address is not None}
 
     def _ranked_owners(self) -> list[str]:
-        """The other processes with a session, the nearest first; each node's order differs."""
+        """Other processes with a session: own zone first, then by a rank that differs by node."""
         node = node_of_owner(self._owner)
         return sorted(
             (
@@ -194,26 +196,26 @@
         )
 
     def preferred_owner_address(self, job: Job) -> str | None:
-        """Where the node that should own a job is reached; ``None`` if it is this one."""
+        """Address of the preferred owner of a job; ``None`` if that is this node or unknown."""
         owner = preferred_owner(job, self.nodes, self._zone)
         return None if owner is None else self._address_of(owner)
 
     def knows_job(self, job_id: str) -> bool:
-        """Whether this node has seen a job."""
+        """Whether this node has seen the job, open, finished or ended."""
         return job_id in self.open_jobs or job_id in self.last_owners or job_id in self.ended_jobs
 
     async def wait_for_job(self, job_id: str, wait_s: float) -> None:
-        """Wait until this node has seen a job, at most ``wait_s`` seconds."""
+        """Wait at most ``wait_s`` seconds until this node has seen a job."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
                 while not self.knows_job(job_id):
-                    await self._job_seen.wait()
+                    await self._new_job.wait()
 
     def owner_address(self, job_id: str) -> str | None:
-        """Where a job's owner, or its last one, is reached; ``None`` if not known or this node.
+        """Address of a job's owner or last owner; ``None`` if unknown or this node.
 
-        The last owner is named only if it is in this zone: the results of a finished job are many,
-        links between zones are narrow, and the store has them all.
+        The last owner is returned only if it is in this zone: the results of a finished job are
+        large, bandwidth between zones is limited, and the store has all results.
         """
         job = self.open_jobs.get(job_id)
         if job is not None:
@@ -224,19 +226,19 @@
         return self._address_of(self.last_owners[job_id])
 
     def former_address(self, owner: str) -> str | None:
-        """Where a process is or was reached; ``None`` if it was never seen or is this one."""
+        """Last known address of a process; ``None`` if it was never seen or is this one."""
         entry = self.nodes.get(owner) or self._former_nodes.get(owner)
         if owner == self._owner or entry is None:
             return None
         return entry.address or None
 
     def successor(self, job: Job) -> str | None:
-        """The process that should own a job once this one does not; ``None`` if there is none."""
+        """Preferred owner of a job among the other processes; ``None`` if there is none."""
         others = {owner: entry for owner, entry in self.nodes.items() if owner != self._owner}
         return preferred_owner(job, others, self._zone)
 
     def peer_addresses(self) -> list[str]:
-        """Where the other nodes are reached, in no particular order."""
+        """Addresses of the other nodes, sorted."""
         others = {entry.address for owner, entry in self.nodes.items() if owner != self._owner}
         return sorted(others - {"", self._own_address()})
 
@@ -251,5 +253,5 @@
 
 
 def _rank(node: str, owner: str) -> int:
-    """Order of preference of one node among the others; it survives their restarts."""
+    """Rank of an owner's node in the order of one node; restarts do not change it."""
     return xxhash.xxh64_intdigest(f"{node}|{node_of_owner(owner)}".encode())
--- a/src/hollowrack/jobs/placement.py
+++ b/src/hollowrack/jobs/placement.py
@@ -1,7 +1,7 @@
-"""Which node should own a job: the same one for all jobs of a model, as long as it lives.
+"""Choice of the preferred owner of a job: one node for all jobs of a model while it is live.
 
-One owner sees all that runs at a model's workers, and its connections to them stay warm from one
-job to the next. Any node accepts any job; a wrong choice costs time and nothing else.
+One owner sees all load on a model's workers and reuses its connections to them across jobs. Any
+node accepts any job, so another choice only costs time.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,21 +13,21 @@
 from hollowrack.jobs.types import Job
 from hollowrack.messages.codec import message
 
-# Machines with nearly as much processor time as the largest are as good.
+# Nodes with at least this fraction of the most cores count as equally large.
 LARGE_SHARE = 0.9
-# Machines near the caller are taken if the largest has at least this share of the largest of all.
+# The caller's zone is preferred if its largest node has this fraction of the most cores of all.
 NEAR_SHARE = 0.5
 
 
 @message("jobs.node")
 @dataclass(frozen=True)
 class NodeEntry:
-    """What a live process says of itself to the others.
+    """Entry that a live process publishes for the other nodes.
 
     Attributes:
-        address: Where other nodes reach it; empty if they do not.
-        num_cores: Processor time it has for jobs, in cores; 0 while it stops.
-        zone: Its zone; empty if it does not tell.
+        address: Host and port for other nodes; empty if they cannot reach it.
+        num_cores: CPU capacity for jobs, in cores; 0 while it is stopping.
+        zone: Zone of the process; empty if unknown.
     """
 
     address: str
@@ -36,32 +36,35 @@
 
 
 def preferred_owner(job: Job, live: Mapping[str, NodeEntry], zone: str = "") -> str | None:
-    """Return the process that should own a job: rendezvous hashing over the largest machines.
+    """Return the preferred owner of a job by rendezvous hashing over the largest nodes.
 
-    Callers read a job where they submitted it, and every result goes from its owner to them; so
-    the owner is in their zone if a large machine is there.
+    Callers read a job where they submitted it, and its owner sends every result there; so the
+    owner is in that zone if it has a large node.
 
     Args:
-        job: The job.
-        live: What live processes say of themselves, by owner name.
-        zone: Zone in which the job was submitted; empty if that is not known.
+        job: The job to be placed.
+        live: Entries of live processes by owner name.
+        zone: Zone in which the job was submitted; empty if unknown.
+
+    Returns:
+        The owner name; ``None`` if no process is reachable.
     """
     reachable = {owner: entry for owner, entry in live.items() if entry.address}
     if not reachable:
         return None
-    most_cores = max(entry.num_cores for entry in reachable.values())
-    near = {owner: entry for owner, entry in reachable.items() if entry.zone == zone}
-    most_near = max((entry.num_cores for entry in near.values()), default=0.0)
-    if zone and most_near > 0.0 and most_near >= NEAR_SHARE * most_cores:
-        reachable, most_cores = near, most_near
+    max_cores = max(entry.num_cores for entry in reachable.values())
+    local = {owner: entry for owner, entry in reachable.items() if entry.zone == zone}
+    max_local_cores = max((entry.num_cores for entry in local.values()), default=0.0)
+    if zone and max_local_cores > 0.0 and max_local_cores >= NEAR_SHARE * max_cores:
+        reachable, max_cores = local, max_local_cores
     candidates = [
-        owner for owner, entry in reachable.items() if entry.num_cores >= LARGE_SHARE * most_cores
+        owner for owner, entry in reachable.items() if entry.num_cores >= LARGE_SHARE * max_cores
     ]
     return _first_by_hash(job.model or f"{job.host}{job.target}", candidates)
 
 
 def _first_by_hash(key: str, owners: Iterable[str]) -> str:
-    """A node keeps its rank through restarts, since only its name is hashed."""
+    """Return the owner with the highest hash; only node names are hashed, so restarts keep it."""
     return max(
         owners,
         key=lambda owner: (
--- a/src/hollowrack/jobs/retention.py
+++ b/src/hollowrack/jobs/retention.py
@@ -1,4 +1,4 @@
-"""Removes ended jobs from the store once nobody may ask for them any more."""
+"""Removal of ended jobs from the store after a retention period."""
 
 import asyncio
 
@@ -11,21 +11,21 @@
 from hollowrack.tasks import cancel_all
 
 LOOK_S = 5.0
-# Jobs removed at each look, so that the store's rate of writes is left to others.
+# Limits the write load on the store.
 MAX_REMOVED_A_LOOK = 10
 
 
 class JobRetention:
-    """Removes ended jobs while this node leads.
+    """Removes ended jobs while this node is the leader.
 
-    The time counts from when this node first heard of the end: a new leader counts anew, and keeps
-    jobs longer rather than shorter.
+    The retention period starts when this node receives the end of a job; a new leader may
+    therefore keep a job longer, never shorter.
 
     Args:
         log: Durable state of jobs.
-        live: Tells which jobs were ended.
-        leadership: Whether this node leads.
-        keep_s: How long an ended job is kept, in seconds.
+        live: Cluster state, with the jobs that were ended.
+        leadership: States whether this node is the leader.
+        keep_s: Retention period of ended jobs, in seconds.
     """
 
     def __init__(self, log: JobLog, live: LiveState, leadership: Leadership, keep_s: float) -> None:
@@ -36,11 +36,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start looking."""
+        """Start the periodic removal."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop looking."""
+        """Stop the periodic removal."""
         await cancel_all(self._task)
 
     async def _run(self) -> None:
@@ -52,8 +52,8 @@
     async def _remove_due(self) -> None:
         due = [
             job_id
-            for job_id, heard_s in self._live.ended_jobs.items()
-            if now_s() - heard_s > self._keep_s
+            for job_id, received_s in self._live.ended_jobs.items()
+            if now_s() - received_s > self._keep_s
         ]
         for job_id in due[:MAX_REMOVED_A_LOOK]:
             if not await self._log.remove(job_id):
--- a/src/hollowrack/jobs/takeover.py
+++ b/src/hollowrack/jobs/takeover.py
@@ -1,7 +1,7 @@
-"""Jobs whose owner is gone: its node's next process takes them back, or the leader does.
+"""Takeover of jobs whose owner is gone, by the next process of its node or by the leader.
 
-A new owner goes on where the old one was: with what that one has saved in the store, and with what
-it still holds itself, if it answers.
+The new owner resumes from the progress that the former owner saved in the store and, if that
+process still answers, from the state that it holds.
 """
 
 import asyncio
@@ -18,25 +18,28 @@
 from hollowrack.jobs.progress import JobRemainder, ProgressLog, longest_runs
 from hollowrack.tasks import cancel_all
 
-# An owner whose session is seen to be gone for this long is taken to be gone itself.
+# An owner counts as gone when its session has been absent for this long.
 GRACE_S = 0.4
 LOOK_S = 0.25
-# A job that could not be taken is tried again after this and the grace.
+# Added to the grace period before a failed takeover is retried.
 ASSIGNED_RETRY_S = 1.5
 IDLE_SCAN_S = 6.0
 
 
 class JobTakeover:
-    """Looks for unfinished jobs without an owner while this node leads.
+    """Takes over unfinished jobs of former owners.
+
+    Every node takes over jobs of its earlier processes and jobs assigned to it; the leader also
+    takes over all others without a live owner.
 
     Args:
         log: Durable state of jobs.
-        progress: What is kept of unfinished items.
-        peers: Asks former owners for what they hold.
-        jobs: This node's jobs.
-        leadership: Whether this node leads.
-        live: The live processes and the open jobs, as this node sees them.
-        is_live_loaded: Set once that view has been read.
+        progress: Stored events of unfinished items.
+        peers: Client for requests to former owners.
+        jobs: Runs the jobs that are taken over.
+        leadership: States whether this node is the leader.
+        live: Cluster state as seen by this node.
+        is_live_loaded: Set once the cluster state has been read.
     """
 
     def __init__(
@@ -57,105 +60,105 @@
         self._leadership = leadership
         self._live = live
         self._is_live_loaded = is_live_loaded
-        self._seen_owners: set[str] = set()
-        self._scan_due_s = 0.0
+        self._live_owners: set[str] = set()
+        self._next_scan_s = 0.0
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start looking."""
+        """Start the periodic check."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop looking."""
+        """Stop the periodic check."""
         await cancel_all(self._task)
 
     async def _run(self) -> None:
-        await self._take_back()
+        await self._take_over_from_earlier_processes()
         was_leader = False
         while True:
             await asyncio.sleep(LOOK_S)
             is_leader = self._leadership.is_leader
             if is_leader and not was_leader:
-                self._scan_due_s = now_s() + GRACE_S
+                self._next_scan_s = now_s() + GRACE_S
             was_leader = is_leader
-            self._note_owners()
-            await self._take_assigned()
-            if is_leader and now_s() >= self._scan_due_s:
-                self._scan_due_s = now_s() + IDLE_SCAN_S
+            self._update_owners()
+            await self._take_over_assigned()
+            if is_leader and now_s() >= self._next_scan_s:
+                self._next_scan_s = now_s() + IDLE_SCAN_S
                 await self._scan()
 
-    async def _take_back(self) -> None:
-        """Take over what an earlier process of this node owned: that process has ended."""
+    async def _take_over_from_earlier_processes(self) -> None:
+        """Take over the jobs of earlier processes of this node, which have ended."""
         node = node_of_owner(self._log.owner)
         await self._is_live_loaded.wait()
-        for job in self._oldest_first():
+        for job in self._jobs_by_revision():
             if node_of_owner(job.owner) == node and job.owner != self._log.owner:
                 await self._take_over(job)
 
-    def _oldest_first(self) -> list[OpenJob]:
-        """Unfinished jobs in the order in which they were stored or changed their owner.
+    def _jobs_by_revision(self) -> list[OpenJob]:
+        """Unfinished jobs in the order of the last write of their owner.
 
-        Jobs that are taken over together go on in the order in which they were accepted.
+        Jobs that are taken over together keep the order in which they were accepted.
         """
         return sorted(self._live.open_jobs.values(), key=lambda job: job.revision)
 
-    async def _take_assigned(self) -> None:
-        """Run what another process has left to this one, or what it claimed and could not read."""
-        mine = [job for job in self._oldest_first() if job.owner == self._log.owner]
-        unowned = {job.job_id: job for job in mine if not self._jobs.owns(job.job_id)}
-        # A job that this process has just stored or finished looks the same for a moment.
+    async def _take_over_assigned(self) -> None:
+        """Run jobs that were handed over to this process, or that it claimed but failed to load."""
+        assigned = [job for job in self._jobs_by_revision() if job.owner == self._log.owner]
+        not_running = {job.job_id: job for job in assigned if not self._jobs.owns(job.job_id)}
+        # A job that this process has just stored or finished briefly looks unowned as well.
         self._assigned_since_s = {
-            job_id: self._assigned_since_s.get(job_id, now_s()) for job_id in unowned
+            job_id: self._assigned_since_s.get(job_id, now_s()) for job_id in not_running
         }
         for job_id, since_s in list(self._assigned_since_s.items()):
             if now_s() - since_s >= GRACE_S:
                 self._assigned_since_s[job_id] = now_s() + ASSIGNED_RETRY_S
-                await self._take_over(unowned[job_id])
+                await self._take_over(not_running[job_id])
 
-    def _note_owners(self) -> None:
+    def _update_owners(self) -> None:
         live = set(self._live.nodes)
-        if self._seen_owners - live:
-            self._scan_due_s = min(self._scan_due_s, now_s() + GRACE_S)
-        self._seen_owners = live
+        if self._live_owners - live:
+            self._next_scan_s = min(self._next_scan_s, now_s() + GRACE_S)
+        self._live_owners = live
 
     async def _scan(self) -> None:
         live = set(self._live.nodes)
-        for job in self._oldest_first():
+        for job in self._jobs_by_revision():
             if job.owner not in live and job.owner != self._log.owner:
                 await self._take_over(job)
 
     async def _take_over(self, job: OpenJob) -> None:
-        """Claim a job and run it; a fault over one job keeps no other from being taken over."""
+        """Claim a job and run it; an error must not prevent the takeover of other jobs."""
         try:
             await self._claim_and_load(job)
         except Exception:
             logging.exception("job %s: not taken over now", job.job_id)
-            self._scan_due_s = min(self._scan_due_s, now_s() + ASSIGNED_RETRY_S)
+            self._next_scan_s = min(self._next_scan_s, now_s() + ASSIGNED_RETRY_S)
 
     async def _claim_and_load(self, job: OpenJob) -> None:
-        # The view may lag behind the store: only the claim proves that the job is open.
+        # The cluster state may lag behind the store: only the claim proves that the job is open.
         if await self._log.claim(job):
             await self._load(job)
         else:
-            self._scan_due_s = min(self._scan_due_s, now_s() + GRACE_S)
+            self._next_scan_s = min(self._next_scan_s, now_s() + GRACE_S)
 
-    async def _ask_former_owner(self, job: OpenJob) -> JobRemainder:
+    async def _fetch_remainder(self, job: OpenJob) -> JobRemainder:
         address = self._live.former_address(job.owner)
         return (
             JobRemainder() if address is None else await self._peers.remainder(address, job.job_id)
         )
 
     async def _load(self, job: OpenJob) -> None:
-        stored, written, remainder = await asyncio.gather(
+        stored, records, remainder = await asyncio.gather(
             self._log.load(job.job_id),
             self._progress.load(job.job_id),
-            self._ask_former_owner(job),
+            self._fetch_remainder(job),
         )
         if job.job_id not in self._live.open_jobs:
-            return  # Ended meanwhile.
+            return  # Ended in the meantime.
         if isinstance(stored, StoredJob):
             logging.info("job %s: taken over from %s", job.job_id, job.owner)
-            kept = longest_runs([*written, remainder.items])
-            self._jobs.own(stored.job, stored.results, True, kept, remainder.results)
+            saved_events = longest_runs([*records, remainder.items])
+            self._jobs.own(stored.job, stored.results, True, saved_events, remainder.results)
         else:
-            self._scan_due_s = min(self._scan_due_s, now_s() + GRACE_S)
+            self._next_scan_s = min(self._next_scan_s, now_s() + GRACE_S)
