--- a/src/hollowrack/jobs/item_eligibility.py
+++ b/src/hollowrack/jobs/item_eligibility.py
@@ -1,4 +1,4 @@
-"""Which workers may run an item."""
+"""Condition on the workers that may run an item."""
 
 from dataclasses import dataclass, field
 
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True)
 class ItemEligibility:
-    """A condition on workers; items with equal conditions wait for the same places.
+    """A condition on workers; items with equal conditions wait for the same slots.
 
     Attributes:
-        model: Model whose weights bind the item; empty if none do.
-        min_version: Oldest version of them that may make its tokens.
-        suspect: Fingerprint of the item if workers have ended under it; ``None`` otherwise.
-        places: Where suspects run.
+        model: Model whose weight versions restrict the workers; empty if none do.
+        min_version: Oldest weight version that may generate its tokens.
+        suspect: Fingerprint of the item if workers have crashed while running it, else ``None``.
+        places: Keeps suspects apart; ``None`` to allow them at any worker.
     """
 
     model: str
@@ -23,10 +23,10 @@
     places: SuspectPlaces | None = field(compare=False, repr=False)
 
     def __call__(self, worker: Worker) -> bool:
-        """Whether a worker may run the item."""
-        return self._is_apart(worker) and self._has_weights(worker)
+        """Return whether a worker may run the item."""
+        return self._allows_suspect(worker) and self._has_weights(worker)
 
-    def _is_apart(self, worker: Worker) -> bool:
+    def _allows_suspect(self, worker: Worker) -> bool:
         if self.suspect is None or self.places is None:
             return True
         return self.places.allows(self.suspect, worker.life)
--- a/src/hollowrack/jobs/item_moves.py
+++ b/src/hollowrack/jobs/item_moves.py
@@ -1,25 +1,25 @@
-"""When an item goes on at a faster worker: a pure estimate of the time that it saves."""
+"""Migration of items to faster workers, decided by the estimated time that it saves."""
 
 from hollowrack.forwarding.dispatch_queue import DispatchQueue, RankOf
 from hollowrack.forwarding.types import Worker
 from hollowrack.forwarding.workers import WorkerDirectory
 from hollowrack.jobs.lengths import LengthEstimate
 
-# Less is not worth reading the prompt and the text again at the other worker.
+# Outweighs the repeated prefill of prompt and text at the other worker.
 MIN_SAVED_S = 0.25
 
 
 class ItemMoves:
-    """Moves of one item; see :class:`hollowrack.forwarding.faster_place.MovePolicy`.
+    """Migration policy of one item, see :class:`hollowrack.forwarding.faster_place.MovePolicy`.
 
     Args:
-        workers: The workers known.
-        queue: Hands out places at workers.
-        lengths: How many events items will have.
+        workers: Estimates the time saved at another worker.
+        queue: Assigns slots at workers.
+        lengths: Estimates the number of events left.
         service: Service that runs the item.
-        model: Model that makes its tokens; empty if versions do not bind it.
-        expected_tokens: How many tokens its caller expects; 0 if that is not told.
-        rank_of: Returns its rank in the queue.
+        model: Model whose weight versions are compared; empty if versions do not matter.
+        expected_tokens: Length stated by its caller; 0 if none was.
+        rank_of: Returns the item's current rank in the queue.
     """
 
     def __init__(
@@ -41,14 +41,14 @@
         self._rank_of = rank_of
 
     def is_worthwhile(self, worker: Worker, num_events: int) -> bool:
-        """Whether the fastest worker would end the item clearly sooner."""
+        """Whether the fastest worker would finish the item earlier by at least ``MIN_SAVED_S``."""
         return self._saves_enough(worker, None, num_events)
 
     async def acquire_faster(self, worker: Worker, num_events: int) -> Worker:
-        """Wait for a place at a worker that ends the item clearly sooner."""
+        """Wait for a slot at a worker that finishes the item earlier by ``MIN_SAVED_S`` or more."""
 
         def is_faster(other: Worker) -> bool:
-            return self._holds_as_new(other, worker) and self._saves_enough(
+            return self._has_as_new_weights(other, worker) and self._saves_enough(
                 worker, other, num_events
             )
 
@@ -56,10 +56,10 @@
         return await self._queue.acquire(self._service, self._rank_of, is_faster, avoided)
 
     def _saves_enough(self, worker: Worker, other: Worker | None, num_events: int) -> bool:
-        num_left = self._lengths.num_events_left(self._expected_tokens, num_events)
-        return self._workers.time_saved_s(worker, other, num_left) >= MIN_SAVED_S
+        num_events_left = self._lengths.num_events_left(self._expected_tokens, num_events)
+        return self._workers.time_saved_s(worker, other, num_events_left) >= MIN_SAVED_S
 
-    def _holds_as_new(self, other: Worker, worker: Worker) -> bool:
-        """Whether another worker's weights are at least as new: a sample should not go back."""
+    def _has_as_new_weights(self, other: Worker, worker: Worker) -> bool:
+        """Whether the other worker's weights are as new: an item must not return to older ones."""
         version = worker.model_versions.get(self._model, 0)
         return other.model_versions.get(self._model, 0) >= version
--- a/src/hollowrack/jobs/item_order.py
+++ b/src/hollowrack/jobs/item_order.py
@@ -1,12 +1,11 @@
-"""Decides in which order the items of a job should run, from what its trainer waits for.
-
-Answers the load of several jobs on too little room: each trainer waits for most of its groups, but
-not for all, and a group is worth most to it if it is whole when the job is due. If all groups that
-it waits for fit the time left, they run together, the longest item first, which ends them soonest.
-If not, none would be whole in time that way: then they are completed one after the other, those
-nearest to whole first. Groups that can no longer be whole in time make way for those that can, also
-of other jobs: under lasting overload each job would otherwise wait for one that is late already.
-Groups that the trainer can do without come last.
+"""Order of the items of a job, by the groups that its trainer needs.
+
+A trainer waits for most of the job's groups, not for all, and a group must be complete by the job's
+deadline. If all needed groups fit the remaining time, they run concurrently, the longest item
+first. Otherwise they are completed one after the other, those with the fewest tokens left first,
+because run concurrently none would be complete in time. Groups that can no longer meet the deadline
+rank below those that can, including those of other jobs. Groups that the trainer does not need rank
+last.
 """
 
 from collections import defaultdict
@@ -18,28 +17,28 @@
 from hollowrack.forwarding.dispatch_rank import Usefulness
 from hollowrack.jobs.types import Job
 
-# Trainers bring unfinished groups back at the head of a later job, at most half of those that they
-# wait for, and need them whatever else is whole.
+# Trainers resubmit unfinished groups at the head of a later job: at most this fraction of the
+# groups that they wait for. Resubmitted groups are always needed.
 MAX_RETURNED_SHARE = 0.5
-# A group is taken for late once the time left is less than this share of what its longest item
-# should take. Expected lengths are often twice what comes out, and a long item that is put back for
-# nothing is the one that makes its group late.
+# A group counts as late when the remaining time is below this fraction of the expected time of its
+# longest item. Expected lengths are often twice the actual ones, and postponing a long item by
+# mistake makes its group late.
 LATE_SHARE = 0.5
-# Groups go one after the other only if the work is this many times what fits: below that the
-# longest items, not the room, decide when a job is whole, and they must not wait.
+# Groups run one after the other only if the work exceeds the capacity by this factor. Below it, the
+# longest items determine when a job is complete and must not wait.
 OVERLOAD_FACTOR = 1.5
-# Places stand idle while the last items run, and expected lengths are guesses.
+# Slots are idle while the last items run, and expected lengths are inaccurate.
 USABLE_SHARE = 0.9
 
 
 @dataclass(frozen=True)
 class ItemPlace:
-    """Place of an item in the order of its job.
+    """Rank of an item in the order of its job.
 
     Attributes:
-        is_surplus: Whether the trainer can do without the item's group.
-        group_place: Place of its group; 0 for all needed groups if they fit the time left.
-        group_time_s: How long its group still takes at least, in seconds: its longest item.
+        is_surplus: Whether the trainer does not need the item's group.
+        group_place: Rank of its group from 1; 0 for all needed groups if they run concurrently.
+        group_time_s: Expected time left of the longest item of its group, in seconds; 0 if unknown.
     """
 
     is_surplus: bool = False
@@ -47,10 +46,10 @@
     group_time_s: float = 0.0
 
     def usefulness(self, time_left_s: float) -> Usefulness:
-        """Return what the item's result is worth, if it begins now.
+        """Return how useful the item's result is if the item starts now.
 
         Args:
-            time_left_s: Time until the job is due, in seconds.
+            time_left_s: Time until the job's deadline, in seconds.
         """
         if self.is_surplus:
             return Usefulness.SURPLUS
@@ -60,12 +59,12 @@
 
 @dataclass(frozen=True)
 class Outlook:
-    """What can be generated of a job until it is due.
+    """Tokens that can be generated for a job before its deadline.
 
     Attributes:
-        time_left_s: Time until then, in seconds; infinite if it is never due.
-        num_places: How many places at workers the job has or may have now.
-        tokens_per_s: How fast each generates; 0 while that is not known.
+        time_left_s: Time until the deadline, in seconds; infinite if there is none.
+        num_places: Slots that the job holds or could get now.
+        tokens_per_s: Throughput of each slot; 0 while unknown.
     """
 
     time_left_s: float
@@ -73,9 +72,9 @@
     tokens_per_s: float
 
     def fits(self, num_tokens: int) -> bool:
-        """Whether all places can generate so many tokens in time, or nearly.
+        """Whether the slots can generate so many tokens before the deadline, or nearly.
 
-        They do not as long as the pace is unknown, so that a new node completes a group early.
+        ``False`` while the throughput is unknown, so that a new node completes groups one by one.
         """
         if isinf(self.time_left_s):
             return True
@@ -83,61 +82,61 @@
         return num_tokens <= OVERLOAD_FACTOR * usable_s * self.num_places * self.tokens_per_s
 
     def time_of(self, num_tokens: int) -> float:
-        """How long one place takes for so many tokens, in seconds; 0 while that is not known."""
+        """Time that one slot takes for so many tokens, in seconds; 0 while unknown."""
         return num_tokens / self.tokens_per_s if self.tokens_per_s > 0.0 else 0.0
 
 
-class _Nearness(NamedTuple):
-    """How far a group is from being whole; the lowest is nearest."""
+class _WorkLeft(NamedTuple):
+    """Work left of a group, as a sort key: the lowest is nearest to complete."""
 
     num_tokens_left: int
     num_items_left: int
     position: int
-    num_longest: int
+    longest_item_tokens: int
 
 
 def order_items(job: Job, tokens_left: Mapping[str, int], outlook: Outlook) -> dict[str, ItemPlace]:
-    """Return the place of each unfinished item.
+    """Return the rank of each unfinished item by its identifier.
 
     Args:
         job: The job.
-        tokens_left: Tokens still expected of each unfinished item, by its identifier; 0 where that
-            is not known.
-        outlook: What can be generated of the job until it is due.
+        tokens_left: Tokens still expected of each unfinished item, by its identifier; 0 where
+            unknown.
+        outlook: Tokens that can be generated before the job's deadline.
     """
     if not job.num_desired_groups:
         return {item_id: ItemPlace() for item_id in tokens_left}
-    distances = _distances(job, tokens_left)
-    nearest_first = sorted(distances, key=lambda group: distances[group])
-    needed = _needed_groups(job, nearest_first, distances)
-    fit_together = outlook.fits(sum(distances[group].num_tokens_left for group in needed))
-    places = {
+    work_left = _work_left_by_group(job, tokens_left)
+    by_work_left = sorted(work_left, key=lambda group: work_left[group])
+    needed = _needed_groups(job, by_work_left, work_left)
+    fit_together = outlook.fits(sum(work_left[group].num_tokens_left for group in needed))
+    ranks = {
         group: ItemPlace(
             group not in needed,
-            0 if fit_together and group in needed else place,
-            outlook.time_of(distances[group].num_longest),
+            0 if fit_together and group in needed else rank,
+            outlook.time_of(work_left[group].longest_item_tokens),
         )
-        for place, group in enumerate(nearest_first, start=1)
+        for rank, group in enumerate(by_work_left, start=1)
     }
-    return {item.id: places[item.group] for item in job.items if item.id in tokens_left}
+    return {item.id: ranks[item.group] for item in job.items if item.id in tokens_left}
 
 
-def _distances(job: Job, tokens_left: Mapping[str, int]) -> dict[str, _Nearness]:
-    """How far each group is from being whole, in the order of the job."""
+def _work_left_by_group(job: Job, tokens_left: Mapping[str, int]) -> dict[str, _WorkLeft]:
+    """Work left of each group, in the order of the job."""
     left: defaultdict[str, list[int]] = defaultdict(list)
     for item in job.items:
         left[item.group] += [tokens_left[item.id]] if item.id in tokens_left else []
     return {
-        group: _Nearness(sum(tokens), len(tokens), position, max(tokens, default=0))
+        group: _WorkLeft(sum(tokens), len(tokens), position, max(tokens, default=0))
         for position, (group, tokens) in enumerate(left.items())
     }
 
 
 def _needed_groups(
-    job: Job, order: Sequence[str], distances: Mapping[str, _Nearness]
+    job: Job, by_work_left: Sequence[str], work_left: Mapping[str, _WorkLeft]
 ) -> frozenset[str]:
-    """The groups that the trainer should get: the head of the job, then the nearest to whole."""
+    """The groups that the trainer needs: the head of the job, then those nearest to complete."""
     num_head = int(job.num_desired_groups * MAX_RETURNED_SHARE)
-    head = [group for group in order if distances[group].position < num_head]
-    others = [group for group in order if distances[group].position >= num_head]
+    head = [group for group in by_work_left if work_left[group].position < num_head]
+    others = [group for group in by_work_left if work_left[group].position >= num_head]
     return frozenset([*head, *others][: job.num_desired_groups])
--- a/src/hollowrack/jobs/item_runner.py
+++ b/src/hollowrack/jobs/item_runner.py
@@ -1,4 +1,4 @@
-"""Runs one item of a job: generation, check of its versions, score."""
+"""Execution of one item of a job: generation, check of its weight versions, scoring."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -35,21 +35,21 @@
 MIN_SCORER_PATIENCE_S = 0.6
 SCORER_PATIENCE_IN_TARGETS = 2.0
 SCORER_PAUSE_S = 0.1
-# An unexpected error may come again at once, and would take the processor and fill the log.
+# Limits CPU load and log volume if an unexpected error recurs at once.
 ERROR_PAUSE_S = 1.0
 SCORER_METHOD = "POST"
 HTTP_SUCCESS = range(200, 300)
 FIRST_SERVER_ERROR = 500
 
 
-_REASONS = {
+_REASON_OF_RUN_END = {
     RunEnd.REJECTED: GiveUpReason.REJECTED,
     RunEnd.FAILED_TOO_OFTEN: GiveUpReason.FAILED_TOO_OFTEN,
 }
 
 
 class ItemGivenUpError(Exception):
-    """The item can never be whole."""
+    """Raised when an item can never be completed."""
 
     def __init__(self, reason: GiveUpReason) -> None:
         super().__init__(reason.value)
@@ -60,20 +60,20 @@
     """Runs one item until it has a result.
 
     Args:
-        services: What running takes.
-        job: Its job.
+        services: Components shared by all item runners of the node.
+        job: Job of the item.
         item: The item.
-        standing: What places the job among the others of this node.
-        place_of: Returns the place of an item in the order of its job, as it is now.
-        on_outgrown: Called whenever the item has outgrown the estimate of its length.
-        kept: What an earlier owner of the job has generated of it, from its beginning.
+        standing: Sequence number and deadline of the job on this node.
+        place_of: Returns the current rank of an item, by its identifier, in the order of its job.
+        on_overrun: Called whenever the item exceeds the estimate of its length.
+        saved_events: Events that an earlier owner of the job generated, from the first one on.
 
     Attributes:
-        events: What has been generated so far.
-        num_restarts: How often generation began again from nothing.
-        is_generated: Whether the text is whole.
-        route: Route of its job, once that is known.
-        generates_at: Service at which it is to be generated now; ``None`` while it is not.
+        events: Events generated so far.
+        num_restarts: How often generation was restarted from the beginning.
+        is_generated: Whether the text is complete.
+        route: Route of the job; ``None`` until it is known.
+        generates_at: Service that generates the item or whose slot it waits for, else ``None``.
         is_waiting: Whether it waits for a slot there.
     """
 
@@ -84,10 +84,10 @@
         item: JobItem,
         standing: JobStanding,
         place_of: Callable[[str], ItemPlace],
-        on_outgrown: Callable[[], None],
-        kept: Sequence[VersionedEvent] = (),
+        on_overrun: Callable[[], None],
+        saved_events: Sequence[VersionedEvent] = (),
     ) -> None:
-        self.events: list[VersionedEvent] = list(kept)
+        self.events: list[VersionedEvent] = list(saved_events)
         self.num_restarts = 0
         self.is_generated = False
         self.route: Route | None = None
@@ -98,43 +98,43 @@
         self._item = item
         self._standing = standing
         self._place_of = place_of
-        self._on_outgrown = on_outgrown
+        self._on_overrun = on_overrun
         self._priority = 0
         self._waits: RunWaits | None = None
         self._due_s = NEVER_DUE_S
 
     @property
     def item_id(self) -> str:
-        """The item's identifier."""
+        """Identifier of the item in its job."""
         return self._item.id
 
     @property
     def num_tokens_left(self) -> int:
-        """How many tokens it has before it, as far as known; 0 if that is not known."""
+        """Estimated number of tokens left to generate; 0 if unknown."""
         if self.is_generated:
             return 0
         return self._services.lengths.num_tokens_left(self._item.expected_tokens, len(self.events))
 
     @property
     def is_at_worker(self) -> bool:
-        """Whether it has a place at a worker now."""
+        """Whether it holds a slot at a worker now."""
         return self._waits is not None and self._waits.is_at_worker
 
     async def run(self) -> ItemResult:
-        """Run the item; the result says whether it is whole or given up."""
+        """Run the item until it is complete or given up."""
         started_s = now_s()
-        result = await self._run_in_time()
+        result = await self._run_within_time_limit()
         self._services.queue.statistics.note_wait(WaitPlace.WHOLE_ITEM, now_s() - started_s)
         return result
 
-    async def _run_in_time(self) -> ItemResult:
+    async def _run_within_time_limit(self) -> ItemResult:
         job_route = self.route = await self._route_of(self._job.target)
         if job_route is not None:
             self._priority = job_route.priority
             self._due_s = self._standing.due_s(job_route)
-        limit = asyncio.timeout_at(_give_up_time_s(job_route))
+        time_limit = asyncio.timeout_at(_give_up_deadline_s(job_route))
         try:
-            async with limit:
+            async with time_limit:
                 return await self._run_until_ended()
         except ItemGivenUpError as error:
             return self._give_up(error.reason)
@@ -142,7 +142,7 @@
             return self._give_up(GiveUpReason.TIME_IS_UP)
 
     def _give_up(self, reason: GiveUpReason) -> ItemResult:
-        """Return the result of an item that can never be whole; no other place makes one."""
+        """Return the result of an item that is given up; the only place where one is created."""
         self._services.num_given_up[reason] += 1
         logging.warning(
             "item %s of job %s: given up with %d events, %s (%s), last waiting: %s",
@@ -156,14 +156,14 @@
         return ItemResult(self._item.id, is_complete=False)
 
     async def _run_until_ended(self) -> ItemResult:
-        """Run the item, again after errors that are no proof that it can never be whole.
+        """Run the item, and retry after every error other than a reason to give it up.
 
         Raises:
-            ItemGivenUpError: If there is such a proof.
+            ItemGivenUpError: If the item can never be completed.
         """
         while True:
             try:
-                return await self._run()
+                return await self._run_once()
             except ItemGivenUpError:
                 raise
             except Exception:
@@ -171,22 +171,22 @@
                 await asyncio.sleep(ERROR_PAUSE_S)
 
     async def _route_of(self, target: str) -> Route | None:
-        """The route of a path, as of the configuration under which the job was accepted or later.
+        """Return the route of a path; ``None`` if the configuration has none.
 
-        A node that has just started, or that lags, may have none or an older one: what is absent
-        from that has not ended.
+        Waits for the configuration version under which the job was accepted, or a later one. A node
+        that lags may have an older one, and a route that is absent from that has not been removed.
         """
         version = self._job.configuration_version
         return await self._services.routes.lookup_since(self._job.host, target, version)
 
-    async def _run(self) -> ItemResult:
+    async def _run_once(self) -> ItemResult:
         if not self.is_generated:
-            await self._generate_whole()
+            await self._generate_until_accepted()
             self.is_generated = True
         text = "\n".join(event.event.data for event in self.events)
-        return await self._scored(text, self._versions())
+        return await self._score(text, self._versions())
 
-    async def _generate_whole(self) -> None:
+    async def _generate_until_accepted(self) -> None:
         while True:
             route = await self._route_of(self._item.target)
             if route is None:
@@ -197,16 +197,20 @@
                 if error.end is RunEnd.QUARANTINED:
                     await self._wait_in_quarantine()
                     continue
-                raise ItemGivenUpError(_REASONS[error.end]) from error
+                raise ItemGivenUpError(_REASON_OF_RUN_END[error.end]) from error
             versions = self._versions()
             if not route.needs_single_version or len(versions) <= 1:
                 return
-            logging.info("item %s: made by versions %s, again", self._item.id, versions)
+            logging.info(
+                "item %s: generated by weight versions %s where the route allows one, restarting",
+                self._item.id,
+                versions,
+            )
             self.events = []
             self.num_restarts += 1
 
     async def _wait_in_quarantine(self) -> None:
-        """Wait without reaching a worker; only the item's time, its job or its route end it."""
+        """Wait until the item may be sent to a worker again, unless its time limit ends first."""
         logging.warning(
             "item %s of job %s: waits, too many workers ended under it",
             self._item.id,
@@ -215,10 +219,10 @@
         await self._services.quarantine.wait_until_lifted(fingerprint_of(self._call()))
 
     def _rank(self) -> DispatchRank:
-        """The item's rank in the queue as it is now."""
+        """Return the item's current rank in the queue."""
         place = self._place_of(self.item_id)
-        # Groups that run together go by when each item has to begin: a long one of a later job
-        # before a short one of an earlier job that has time.
+        # Items of concurrent groups are ordered by their latest start: a long item of a later job
+        # precedes a short one of an earlier job that still has time.
         latest_start_s = self._due_s
         if not place.group_place:
             latest_start_s -= self._expected_time_s()
@@ -233,7 +237,7 @@
         )
 
     def _expected_time_s(self) -> float:
-        """How long it should take at a worker, in seconds; 0 while that is not known."""
+        """Return the expected time left at a worker, in seconds; 0 while unknown."""
         tokens_per_s = self._services.pace.tokens_per_s
         return self.num_tokens_left / tokens_per_s if tokens_per_s > 0.0 else 0.0
 
@@ -248,12 +252,12 @@
         )
 
     def _versions(self) -> tuple[int, ...]:
-        """Every weight version that made an event."""
-        made_by = {event.weight_version for event in self.events}
-        return tuple(sorted(version for version in made_by if version is not None))
+        """Return every weight version that generated an event, ascending."""
+        versions = {event.weight_version for event in self.events}
+        return tuple(sorted(version for version in versions if version is not None))
 
     async def _generate(self, route: Route) -> None:
-        """Generate whatever is missing."""
+        """Generate the missing events."""
         services = self._services
         service = services.routes.choose_service(route)
         self._waits = RunWaits(service, services.queue.statistics)
@@ -278,28 +282,28 @@
             services.workers,
             acquire,
             services.read_version,
-            self._accepts,
+            self._accepts_version,
             limits,
             services.quarantine,
             self.events[-1].event.number if self.events else None,
-            moves=self._moves(service, route),
+            moves=self._migration_policy(service, route),
             waits=self._waits,
         )
         started_s = now_s()
-        num_kept = len(self.events)
+        num_events_before = len(self.events)
         self.generates_at = service
         try:
-            await self._take_events(run)
+            await self._append_events(run)
         finally:
             self.generates_at = None
-        self._note_generated(num_kept, now_s() - started_s - run.waited_for_places_s)
+        self._record_generated(num_events_before, now_s() - started_s - run.waited_for_places_s)
         logging.info(
             "item %s of job %s: %d events (%d kept, %d tokens expected) by %d attempts in %.2f s, "
             "%.2f s of it waiting: %s",
             self._item.id,
             self._job.id,
             len(self.events),
-            num_kept,
+            num_events_before,
             self._item.expected_tokens,
             run.num_attempts,
             now_s() - started_s,
@@ -307,27 +311,32 @@
             run.waits.describe(),
         )
 
-    def _note_generated(self, num_kept: int, seconds: float) -> None:
-        """Learn from a text that is whole; all but the kept events took so many seconds."""
+    def _record_generated(self, num_events_before: int, duration_s: float) -> None:
+        """Update the estimates with a complete text.
+
+        Args:
+            num_events_before: Events that existed before this generation.
+            duration_s: Time of the generation without waits for slots, in seconds.
+        """
         services, expected_tokens = self._services, self._item.expected_tokens
         services.lengths.note(expected_tokens, len(self.events))
-        share = 1.0 - num_kept / max(1, len(self.events))
+        generated_fraction = 1.0 - num_events_before / max(1, len(self.events))
         if expected_tokens:
-            services.pace.note(share * expected_tokens, seconds)
+            services.pace.note(generated_fraction * expected_tokens, duration_s)
 
-    async def _take_events(self, run: ResumableRun) -> None:
-        """Take in all events of a run."""
+    async def _append_events(self, run: ResumableRun) -> None:
+        """Append all events of a run."""
         lengths = self._services.lengths
         expected_tokens = self._item.expected_tokens
-        next_estimate_at = lengths.next_estimate_at(expected_tokens, len(self.events))
+        overrun_at = lengths.next_estimate_at(expected_tokens, len(self.events))
         async for event in run.events():
             self.events.append(event)
-            if len(self.events) > next_estimate_at:
-                next_estimate_at = lengths.next_estimate_at(expected_tokens, len(self.events))
-                self._on_outgrown()
+            if len(self.events) > overrun_at:
+                overrun_at = lengths.next_estimate_at(expected_tokens, len(self.events))
+                self._on_overrun()
 
-    def _moves(self, service: str, route: Route) -> ItemMoves | None:
-        """When to move the item; never where a move could bring in a second version."""
+    def _migration_policy(self, service: str, route: Route) -> ItemMoves | None:
+        """Migration policy; ``None`` where a move could add a second weight version."""
         if route.needs_single_version:
             return None
         return ItemMoves(
@@ -341,9 +350,9 @@
         )
 
     def _eligibility(self, fingerprint: str) -> ItemEligibility:
-        """Which workers may run the item; an item under suspicion has a condition of its own.
+        """Return the condition on workers; a suspect has a condition of its own.
 
-        One that comes under suspicion while it waits is checked again before it begins.
+        An item that becomes a suspect while it waits is checked again before it starts.
         """
         quarantine = self._services.quarantine
         is_suspect = quarantine.register.num_ended(fingerprint) > 0
@@ -354,16 +363,16 @@
             quarantine.places,
         )
 
-    def _accepts(self, version: int | None) -> bool:
+    def _accepts_version(self, version: int | None) -> bool:
         return version is None or version >= self._job.min_version
 
-    async def _scored(self, text: str, versions: tuple[int, ...]) -> ItemResult:
+    async def _score(self, text: str, versions: tuple[int, ...]) -> ItemResult:
         scorer = self._item.scorer
         if scorer is None:
             return ItemResult(self._item.id, True, text, versions)
         num_failures = 0
         while True:
-            # No configuration ends an item by lacking the route of its scorer: its time does.
+            # A missing scorer route does not end the item; only its time limit does.
             route = await self._services.routes.lookup_until_found(scorer.host, scorer.target)
             async with self._services.forwarder.call_places.place(route):
                 request = _scorer_request(scorer, route)
@@ -379,8 +388,8 @@
             await asyncio.sleep(SCORER_PAUSE_S)
 
 
-def _give_up_time_s(job_route: Route | None) -> float | None:
-    """When an item may be given up, on the loop's clock; ``None`` for never."""
+def _give_up_deadline_s(job_route: Route | None) -> float | None:
+    """Return when an item may be given up, on the event loop's clock; ``None`` for never."""
     if job_route is None or job_route.queue_ttl_s is None:
         return None
     return now_s() + job_route.queue_ttl_s
@@ -394,6 +403,6 @@
         (("Host", scorer.host),),
         scorer.body,
     )
-    patience_s = max(MIN_SCORER_PATIENCE_S, SCORER_PATIENCE_IN_TARGETS * route.target_latency_s)
-    # One worker a call, so that the answers that say it failed can be counted.
-    return ForwardRequest(call, replace(route, max_attempts=1), now_s() + patience_s)
+    timeout_s = max(MIN_SCORER_PATIENCE_S, SCORER_PATIENCE_IN_TARGETS * route.target_latency_s)
+    # One worker per call, so that failure answers can be counted here.
+    return ForwardRequest(call, replace(route, max_attempts=1), now_s() + timeout_s)
--- a/src/hollowrack/jobs/item_services.py
+++ b/src/hollowrack/jobs/item_services.py
@@ -1,4 +1,4 @@
-"""What running items takes, shared by all items of a node, and why items are given up."""
+"""Components shared by all item runners of a node, and the reasons for giving items up."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 
 class GiveUpReason(Enum):
-    """Why an item has no whole text: all that may end one, as a result cannot be taken back."""
+    """Reasons for giving an item up, which is final because a listed result cannot change."""
 
     REJECTED = "a worker says that it can never be done"
     FAILED_TOO_OFTEN = "workers failed it too often"
@@ -32,20 +32,20 @@
 
 @dataclass(frozen=True)
 class ItemServices:
-    """What running items takes.
+    """Components shared by all item runners of a node.
 
     Attributes:
-        routes: The routes in force.
-        workers: The workers known.
+        routes: Routes of the configuration in force.
+        workers: Directory of known workers.
         back_ends: Sends requests to workers.
-        forwarder: Forwards scorer calls.
-        queue: Hands out places at workers.
-        read_version: Reads the weight version that an event announces.
-        quarantine: Keeps generations that end their workers from further workers.
-        patience: Longest wait for the first event of a generation.
-        lengths: How many events items will have.
-        pace: How fast a place generates.
-        num_given_up: How many items were given up here, by reason.
+        forwarder: Forwards scorer requests.
+        queue: Assigns slots at workers.
+        read_version: Returns the weight version that an event states; ``None`` if it states none.
+        quarantine: Withholds generations that crash workers.
+        patience: Timeout of the first event of a generation, adapted to observed latencies.
+        lengths: Estimates the number of events of items.
+        pace: Estimates the throughput of one slot.
+        num_given_up: Number of items given up on this node by reason.
     """
 
     routes: RouteTable
--- a/src/hollowrack/jobs/job_intake.py
+++ b/src/hollowrack/jobs/job_intake.py
@@ -1,4 +1,4 @@
-"""Accepts jobs: at the node that should own them, here, or at another node."""
+"""Acceptance of jobs: at the preferred owner, on this node, or at another node."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,30 +15,30 @@
 from hollowrack.tasks import cancel_all
 
 CREATE_PAUSE_S = 0.25
-# Refused writes are tried for this long; then the caller is told when to come back.
+# After this time of rejected writes the caller receives a Retry-After.
 CREATE_PATIENCE_S = 0.6
 CREATE_RETRY_AFTER_S = 2.5
 STOPPING_RETRY_AFTER_S = 0.5
-# A write without an answer may have been done: only its outcome can answer the caller.
+# A write without an answer may have succeeded, so its outcome must be resolved first.
 RESOLVE_PATIENCE_S = 8.0
 MAX_PEERS_ASKED = 3
-# The node that should own a job answers soon, or another one owns it.
+# Without an answer of the preferred owner within this time another node stores the job.
 HANDOFF_TIMEOUT_S = 1.0
 PEER_TIMEOUT_S = 3.0
-# A node without a session asks one more host before it owns a job itself.
+# Asked by a node without a session before it becomes the owner itself.
 MAX_OTHER_HOSTS = 1
-# Problems after which nothing of the job is stored, and another node may do better.
-_WORTH_HANDING_ON = frozenset({ResultCode.STOPPING, ResultCode.JOB_NOT_STORED})
+# Problems after which the job is certainly not stored, so that another node can be asked.
+_NOT_STORED_CODES = frozenset({ResultCode.STOPPING, ResultCode.JOB_NOT_STORED})
 
 
 class JobOwner(Protocol):
-    """Runs the jobs of this node."""
+    """Runs the jobs that this node owns."""
 
     def owns(self, job_id: str) -> bool:
-        """Whether a job runs here."""
+        """Whether this node runs a job."""
 
     def own(self, job: Job, results: list[ItemResult]) -> None:
-        """Run a job here, with its results listed so far."""
+        """Run a job on this node, given the results listed so far."""
 
 
 class JobIntake:
@@ -46,15 +46,16 @@
 
     Args:
         log: Durable state of jobs.
-        peers: Hands jobs to other nodes.
-        peer_addresses: Returns where other nodes are reached, the preferred ones first.
-        live: The live processes and the open jobs, as this node sees them.
+        peers: Client for requests to other nodes.
+        peer_addresses: Returns the addresses of other nodes in order of preference.
+        live: Cluster state as seen by this node.
         owner: Runs the jobs that are accepted here.
-        is_host: Whether this node has a session, so that jobs may well stay here.
+        is_host: Returns whether this node holds a session.
 
     Attributes:
-        hands_on: Whether jobs go to the node that should own them; otherwise to the one asked.
-        is_stopping: Whether this node accepts nothing more.
+        hands_on: Whether jobs are submitted to their preferred owner first; otherwise the node that
+            receives a job owns it.
+        is_stopping: Whether this node accepts no more jobs.
     """
 
     def __init__(
@@ -77,30 +78,34 @@
         self._background: set[asyncio.Task[Any]] = set()
 
     async def submit(self, job: Job) -> Problem | None:
-        """Accept a job, here or at another node; ``None`` once it is stored for good."""
+        """Accept a job, here or at another node; ``None`` once it is stored durably."""
         may_be_stored = False
-        asked = self._first_asked(job)
-        for address in asked:
-            handed = await self._hand_on(address, job, HANDOFF_TIMEOUT_S)
-            if handed is None:
+        tried_addresses = self._preferred_addresses(job)
+        for address in tried_addresses:
+            peer_problem = await self._submit_to_peer(address, job, HANDOFF_TIMEOUT_S)
+            if peer_problem is None:
                 return None
-            may_be_stored = may_be_stored or handed.code not in _WORTH_HANDING_ON
+            may_be_stored = may_be_stored or peer_problem.code not in _NOT_STORED_CODES
         problem = await self.submit_here(job)
-        if problem is None or problem.code not in _WORTH_HANDING_ON:
+        if problem is None or problem.code not in _NOT_STORED_CODES:
             return problem
-        others = [address for address in self._peer_addresses() if address not in asked]
-        for address in others[:MAX_PEERS_ASKED]:
-            handed = await self._hand_on(address, job, PEER_TIMEOUT_S)
-            if handed is None:
+        other_addresses = [
+            address for address in self._peer_addresses() if address not in tried_addresses
+        ]
+        for address in other_addresses[:MAX_PEERS_ASKED]:
+            peer_problem = await self._submit_to_peer(address, job, PEER_TIMEOUT_S)
+            if peer_problem is None:
                 return None
-            if handed.code not in _WORTH_HANDING_ON:
-                return handed
+            if peer_problem.code not in _NOT_STORED_CODES:
+                return peer_problem
         if may_be_stored:
-            return Problem(ResultCode.OUTCOME_UNKNOWN, "a node may have stored the job", job.id)
+            return Problem(
+                ResultCode.OUTCOME_UNKNOWN, "another node may have stored the job", job.id
+            )
         return problem
 
-    def _first_asked(self, job: Job) -> list[str]:
-        """The nodes that are asked to own a job before this one."""
+    def _preferred_addresses(self, job: Job) -> list[str]:
+        """Addresses of the nodes to which a job is submitted before this one stores it."""
         if not self.hands_on or self._owner.owns(job.id):
             return []
         preferred = self._live.preferred_owner_address(job)
@@ -108,19 +113,19 @@
             return []
         if self._is_host():
             return [preferred]
-        others = [address for address in self._peer_addresses() if address != preferred]
-        return [preferred, *others[:MAX_OTHER_HOSTS]]
+        other_addresses = [address for address in self._peer_addresses() if address != preferred]
+        return [preferred, *other_addresses[:MAX_OTHER_HOSTS]]
 
-    async def _hand_on(self, address: str, job: Job, timeout_s: float) -> Problem | None:
-        handed = await self._peers.submit(address, job, timeout_s)
-        if handed is None:
+    async def _submit_to_peer(self, address: str, job: Job, timeout_s: float) -> Problem | None:
+        peer_problem = await self._peers.submit(address, job, timeout_s)
+        if peer_problem is None:
             logging.info("job %s: handed to the node at %s", job.id, address)
-        return handed
+        return peer_problem
 
     async def submit_here(self, job: Job) -> Problem | None:
-        """Accept a job on this node; ``None`` once it is stored for good."""
+        """Accept a job on this node; ``None`` once it is stored durably."""
         if not 0 < len(job.id) <= MAX_JOB_ID_LENGTH:
-            return Problem(ResultCode.BAD_REQUEST, "the identifier is empty or too long", "id")
+            return Problem(ResultCode.BAD_REQUEST, "the job identifier is empty or too long", "id")
         if self._owner.owns(job.id):
             return None
         if self.is_stopping:
@@ -129,12 +134,12 @@
         store_task = asyncio.create_task(self._store(job))
         self._background.add(store_task)
         store_task.add_done_callback(self._background.discard)
-        # The caller may leave; an attempt whose outcome is open goes on without it.
+        # The caller may disconnect; an attempt with an unknown outcome continues without it.
         outcome = await asyncio.shield(store_task)
-        return _problem_of(outcome, job.id)
+        return _problem_of_outcome(outcome, job.id)
 
     async def stop(self) -> None:
-        """Give up attempts that are still open."""
+        """Cancel unfinished attempts to store jobs."""
         await cancel_all(*self._background)
 
     async def _store(self, job: Job) -> CreateOutcome:
@@ -146,32 +151,32 @@
                 self._owner.own(job, [])
                 return outcome
             if outcome is CreateOutcome.EXISTS:
-                await self._own_if_mine(job)
+                await self._run_if_owned(job)
                 return outcome
             if outcome is CreateOutcome.TOO_LARGE:
                 return outcome
             may_be_stored = may_be_stored or outcome is CreateOutcome.UNKNOWN
-            patience_s = RESOLVE_PATIENCE_S if may_be_stored else CREATE_PATIENCE_S
-            if now_s() - started_s > patience_s:
+            timeout_s = RESOLVE_PATIENCE_S if may_be_stored else CREATE_PATIENCE_S
+            if now_s() - started_s > timeout_s:
                 return CreateOutcome.UNKNOWN if may_be_stored else CreateOutcome.NOT_DONE
             await asyncio.sleep(CREATE_PAUSE_S)
 
-    async def _own_if_mine(self, job: Job) -> None:
-        """Own a job stored by an earlier attempt of this node whose answer was lost."""
+    async def _run_if_owned(self, job: Job) -> None:
+        """Run a job that an earlier attempt of this process stored though its answer was lost."""
         owner = await self._log.owner_of(job.id)
         if owner == self._log.owner and not self._owner.owns(job.id):
             stored = await self._log.load(job.id)
-            known = stored if isinstance(stored, StoredJob) else StoredJob(job)
-            self._owner.own(known.job, known.results)
+            owned = stored if isinstance(stored, StoredJob) else StoredJob(job)
+            self._owner.own(owned.job, owned.results)
 
 
-def _problem_of(outcome: CreateOutcome, job_id: str) -> Problem | None:
+def _problem_of_outcome(outcome: CreateOutcome, job_id: str) -> Problem | None:
     if outcome in (CreateOutcome.CREATED, CreateOutcome.EXISTS):
         return None
     if outcome is CreateOutcome.TOO_LARGE:
         return Problem(ResultCode.BODY_TOO_LARGE, "the job is too large to be stored", job_id)
     if outcome is CreateOutcome.NOT_DONE:
         return Problem(
-            ResultCode.JOB_NOT_STORED, "the store takes no writes", job_id, CREATE_RETRY_AFTER_S
+            ResultCode.JOB_NOT_STORED, "the store rejects writes", job_id, CREATE_RETRY_AFTER_S
         )
-    return Problem(ResultCode.OUTCOME_UNKNOWN, "the store did not answer", job_id)
+    return Problem(ResultCode.OUTCOME_UNKNOWN, "the store did not confirm the write", job_id)
--- a/src/hollowrack/jobs/job_log.py
+++ b/src/hollowrack/jobs/job_log.py
@@ -1,9 +1,9 @@
-"""The durable state of jobs: their items, their results in order, their owner and their end.
+"""Durable state of jobs: items, ordered results, owner and end.
 
-Results are a chain of batches, each stored under the position of its first result. A batch is
-written on the condition that its key does not exist, and a writer knows that position only from
-the whole chain before it; so two writers can never list one item twice nor disagree about a
-position, whoever believes to own the job.
+Results are listed as a chain of batches, each stored under the position of its first result. A
+batch is written on the condition that its key does not exist, and a writer derives the position
+from the complete chain before it. So concurrent writers that both believe to own a job can neither
+list an item twice nor list different results at one position.
 """
 
 from collections.abc import Sequence
@@ -45,7 +45,7 @@
 
 
 class CreateOutcome(Enum):
-    """What became of an attempt to store a job."""
+    """Outcome of an attempt to store a job."""
 
     CREATED = "created"
     EXISTS = "exists"
@@ -55,7 +55,7 @@
 
 
 class AppendOutcome(Enum):
-    """What became of an attempt to list results."""
+    """Outcome of an attempt to list results."""
 
     APPENDED = "appended"
     OVERTAKEN = "another writer listed results at this position"
@@ -64,12 +64,12 @@
 
 @dataclass
 class StoredJob:
-    """A job as the store holds it.
+    """A job as read from the store.
 
     Attributes:
-        job: The job.
-        results: Its results in order.
-        revision: Store revision of this reading.
+        job: The job with its items.
+        results: Listed results in order.
+        revision: Store revision at which it was read.
     """
 
     job: Job
@@ -79,7 +79,13 @@
 
 @dataclass(frozen=True)
 class OpenJob:
-    """An entry of the list of unfinished jobs."""
+    """Entry of an unfinished job.
+
+    Attributes:
+        job_id: Identifier of the job.
+        owner: Owner name (node and incarnation) of the owning process.
+        revision: Store revision of the entry, the condition for a change of the owner.
+    """
 
     job_id: str
     owner: str
@@ -87,7 +93,7 @@
 
 
 def log_prefix(job_id: str) -> str:
-    """Return the prefix of a job's listed results."""
+    """Return the key prefix of a job's listed results."""
     return f"{JOBS_PREFIX}{quote(job_id, safe='')}/log/"
 
 
@@ -95,17 +101,17 @@
     """Decode one stored batch.
 
     Raises:
-        ProblemError: ``MESSAGE_INVALID`` if the store holds something else.
+        ProblemError: If the value is not a message, or ``MESSAGE_INVALID`` if it is another one.
     """
     return _decode(value, ResultBatch).results
 
 
 class JobLog:
-    """Typed access to stored jobs.
+    """Reads and writes jobs in the coordination store.
 
     Args:
         store: The coordination store.
-        owner: Name and incarnation of this node.
+        owner: Owner name (node and incarnation) of this process.
     """
 
     def __init__(self, store: CoordinationStore, owner: str) -> None:
@@ -113,9 +119,11 @@
         self.owner = owner
 
     async def create(self, job: Job) -> CreateOutcome:
-        """Store a job, owned by this node, unless it exists."""
+        """Store a job, owned by this process, unless it exists."""
         data = codec.encode(job)
-        parts = [data[at : at + MAX_PART_BYTES] for at in range(0, len(data), MAX_PART_BYTES)]
+        parts = [
+            data[start : start + MAX_PART_BYTES] for start in range(0, len(data), MAX_PART_BYTES)
+        ]
         if len(parts) > MAX_PARTS:
             return CreateOutcome.TOO_LARGE
         puts = [Put(_part_key(job.id, index), part) for index, part in enumerate(parts)]
@@ -130,7 +138,7 @@
     async def load(self, job_id: str) -> StoredJob | Unavailable | None:
         """Read a job with its results; ``None`` if there is no such job.
 
-        A job whose records cannot be read is not absent: what it is stays unknown.
+        A job with unreadable records is reported as ``Unknown``, not as absent.
         """
         prefix = f"{JOBS_PREFIX}{quote(job_id, safe='')}/"
         listing = await self._store.list_prefix(prefix)
@@ -147,7 +155,7 @@
             return unreadable(job_id, error)
 
     async def read_results(self, job_id: str) -> list[ItemResult] | Unavailable:
-        """Read all results of a job in order."""
+        """Read all listed results of a job in order."""
         listing = await self._store.list_prefix(log_prefix(job_id))
         if not isinstance(listing, Listing):
             return listing
@@ -164,14 +172,14 @@
         is_last: bool,
         also: Sequence[Put] = (),
     ) -> AppendOutcome:
-        """List results from a position on; the last ones close the job.
+        """List results at a position; the last ones close the job.
 
         Args:
-            job_id: The job.
-            position: Position of the first of them.
-            results: The results.
-            is_last: Whether they are the job's last.
-            also: What is written with them, if they are.
+            job_id: Identifier of the job.
+            position: Position of the first of these results.
+            results: Results to be listed, in order.
+            is_last: Whether these are the job's last results.
+            also: Further writes of the same transaction.
         """
         key = f"{log_prefix(job_id)}{position:08d}"
         value = codec.encode(ResultBatch(tuple(results)))
@@ -184,47 +192,47 @@
         return AppendOutcome.FAILED
 
     async def end(self, job_id: str) -> bool:
-        """Mark a job as ended; returns whether that is certain."""
+        """Mark a job as ended; ``False`` if the write failed or its outcome is unknown."""
         put = Put(f"{ENDS_PREFIX}{quote(job_id, safe='')}", _ENDED)
         outcome = await self._store.transact([], [put], [_open_key(job_id)])
         return isinstance(outcome, Committed)
 
     async def is_ended(self, job_id: str) -> bool | Unavailable:
-        """Read whether a job was ended."""
+        """Read whether a job is marked as ended."""
         item = await self._store.get(f"{ENDS_PREFIX}{quote(job_id, safe='')}")
         if isinstance(item, NotDone | Unknown):
             return item
         return item is not None
 
     async def remove(self, job_id: str) -> bool:
-        """Remove an ended job with all that belongs to it; returns whether that is certain."""
+        """Remove an ended job and its progress; ``False`` if a call to the store fails."""
         keys: list[str] = []
         for prefix in (progress_prefix(job_id), f"{JOBS_PREFIX}{quote(job_id, safe='')}/"):
             listing = await self._store.list_prefix(prefix)
             if not isinstance(listing, Listing):
                 return False
             keys.extend(item.key for item in listing.items)
-        # Its end goes last: while that is there, the removal is taken up again.
+        # The end mark is removed last: while it exists, a failed removal is retried.
         keys.append(f"{ENDS_PREFIX}{quote(job_id, safe='')}")
-        for at in range(0, len(keys), MAX_REMOVES):
-            outcome = await self._store.transact([], [], keys[at : at + MAX_REMOVES])
+        for start in range(0, len(keys), MAX_REMOVES):
+            outcome = await self._store.transact([], [], keys[start : start + MAX_REMOVES])
             if not isinstance(outcome, Committed):
                 return False
         return True
 
     async def owner_of(self, job_id: str) -> str | Unavailable | None:
-        """Read who owns an unfinished job; ``None`` if it is finished, ended or unknown."""
+        """Read the owner of an unfinished job; ``None`` if it is finished, ended or unknown."""
         item = await self._store.get(_open_key(job_id))
         if isinstance(item, StoredItem):
             return owner_in(item.value)
         return item
 
     async def claim(self, job: OpenJob) -> bool:
-        """Take over an unfinished job; returns whether this node owns it now for sure."""
+        """Make this process the owner of a job; ``False`` if that failed or is unknown."""
         return await self.assign(job, self.owner)
 
     async def assign(self, job: OpenJob, owner: str) -> bool:
-        """Give an unfinished job to a process; returns whether that is certain."""
+        """Change the owner of an unfinished job; ``False`` if that failed or is unknown."""
         key = _open_key(job.job_id)
         outcome = await self._store.transact(
             [Condition(key, job.revision)], [Put(key, owner.encode())]
@@ -236,12 +244,12 @@
     """Join stored batches in order, up to the first gap.
 
     Raises:
-        ProblemError: ``MESSAGE_INVALID`` if one of them is something else.
+        ProblemError: If a batch is not a message, or ``MESSAGE_INVALID`` if it is another one.
     """
-    by_position = {position_of(item.key): item for item in batches}
+    batch_at = {position_of(item.key): item for item in batches}
     results: list[ItemResult] = []
-    while len(results) in by_position:
-        batch = decode_batch(by_position[len(results)].value)
+    while len(results) in batch_at:
+        batch = decode_batch(batch_at[len(results)].value)
         if not batch:
             break
         results.extend(batch)
@@ -249,19 +257,19 @@
 
 
 def position_of(key: str) -> int | None:
-    """Return the position of the first result of a stored batch; ``None`` if its key names none."""
+    """Return the position of a batch's first result; ``None`` if its key contains none."""
     position = key.rpartition("/")[2]
     return int(position) if position.isascii() and position.isdigit() else None
 
 
 def unreadable(job_id: str, error: ProblemError) -> Unknown:
-    """Return what is known of a job when a record of it cannot be read: nothing."""
+    """Log an unreadable record of a job and return ``Unknown``."""
     logging.error("job %s: a record of it cannot be read: %s", job_id, error.problem)
-    return Unknown("a record of the job cannot be read")
+    return Unknown("a stored record of the job is unreadable")
 
 
 def job_id_of(key: str, prefix: str) -> str:
-    """Return the job that a key below a prefix is about."""
+    """Return the identifier of the job that a key below a prefix belongs to."""
     return unquote(key.removeprefix(prefix))
 
 
--- a/src/hollowrack/jobs/job_order.py
+++ b/src/hollowrack/jobs/job_order.py
@@ -1,4 +1,4 @@
-"""The order of one job's items as it is now, decided by :mod:`hollowrack.jobs.item_order`."""
+"""Cached order of one job's items, computed by :mod:`hollowrack.jobs.item_order`."""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -10,19 +10,19 @@
 from hollowrack.jobs.job_standing import JobStanding
 from hollowrack.jobs.types import Job
 
-# How long an order is used again, in seconds: lengths left in it grow stale, and a group looks
-# later than it is. Ranks of waiters are asked again only after a change of the order.
+# Remaining lengths in an old order are too high, which makes groups look late. Queued items are
+# ranked anew only when the order is invalidated.
 MAX_ORDER_AGE_S = 0.25
 
 
 class JobOrder:
-    """Decides the order of a job's items when it is asked for, and not more often than needed.
+    """Computes the order of a job's items on demand and caches it.
 
     Args:
         job: The job.
-        services: What running its items takes.
-        standing: When it is due.
-        open_runners: Returns its items that run or wait, by identifier.
+        services: Shared components of the item runners.
+        standing: Deadline of the job.
+        open_runners: Returns the runners of its unlisted items by item identifier.
     """
 
     def __init__(
@@ -36,51 +36,52 @@
         self._services = services
         self._standing = standing
         self._open_runners = open_runners
-        self._places: Mapping[str, ItemPlace] = {}
-        self._decided_s = -float("inf")
+        self._ranks: Mapping[str, ItemPlace] = {}
+        self._computed_s = -float("inf")
 
     def decide_anew(self) -> None:
-        """Decide the order anew before places are handed out again."""
-        self._decided_s = -float("inf")
+        """Drop the cached order, so that it is computed again before the next slot is assigned."""
+        self._computed_s = -float("inf")
         self._services.queue.note_reordered()
 
     def place_of(self, item_id: str) -> ItemPlace:
-        """The place of an item in the order of the job."""
-        if now_s() - self._decided_s > MAX_ORDER_AGE_S:
-            self._decided_s = now_s()
-            self._places = self._decide()
-        return self._places.get(item_id, ItemPlace())
+        """Return the rank of an item in the order of the job."""
+        if now_s() - self._computed_s > MAX_ORDER_AGE_S:
+            self._computed_s = now_s()
+            self._ranks = self._compute()
+        return self._ranks.get(item_id, ItemPlace())
 
-    def _decide(self) -> Mapping[str, ItemPlace]:
-        """Decide in which order the items that wait should run.
+    def _compute(self) -> Mapping[str, ItemPlace]:
+        """Compute the ranks of the unfinished items.
 
-        Without other trainers at its workers a job has them all, and goes the longest item first.
+        Without other models at its services a job has all slots, and all its items rank alike; the
+        queue then starts the longest one first.
         """
-        if not self._has_rivals():
+        if not self._shares_workers():
             return {}
         runners = self._open_runners()
         tokens_left = {item_id: runner.num_tokens_left for item_id, runner in runners.items()}
-        return order_items(self._job, tokens_left, self._outlook(runners.values()))
+        return order_items(self._job, tokens_left, self._forecast(runners.values()))
 
-    def _has_rivals(self) -> bool:
+    def _shares_workers(self) -> bool:
         routes = self._services.routes
         route = routes.lookup(self._job.host, self._job.target)
         return route is not None and any(
             routes.holds_several_models(target.service) for target in route.targets
         )
 
-    def _outlook(self, runners: Iterable[ItemRunner]) -> Outlook:
-        """What the places that the job has or may have now generate until it is due."""
+    def _forecast(self, runners: Iterable[ItemRunner]) -> Outlook:
+        """Forecast for the slots that the job holds or could get now."""
         runners = list(runners)
         route = self._services.routes.lookup(self._job.host, self._job.target)
         time_left_s = self._standing.due_s(route) - now_s()
-        num_taken = sum(runner.is_at_worker for runner in runners)
-        # The item that has just ended leaves its place to the next one.
-        num_places = max(1, num_taken + self._num_free_places(runners))
-        return Outlook(time_left_s, num_places, self._services.pace.tokens_per_s)
+        num_held = sum(runner.is_at_worker for runner in runners)
+        # The slot of the item that has just finished goes to the next one.
+        num_slots = max(1, num_held + self._num_free_slots(runners))
+        return Outlook(time_left_s, num_slots, self._services.pace.tokens_per_s)
 
-    def _num_free_places(self, runners: Iterable[ItemRunner]) -> int:
-        """How many further places the job may have now: a job that begins has none yet."""
+    def _num_free_slots(self, runners: Iterable[ItemRunner]) -> int:
+        """Number of free slots that the job could get now, in addition to those that it holds."""
         services = {runner.generates_at for runner in runners if runner.generates_at is not None}
 
         def has_weights(worker: Worker) -> bool:
--- a/src/hollowrack/jobs/job_reader.py
+++ b/src/hollowrack/jobs/job_reader.py
@@ -1,4 +1,4 @@
-"""Reads jobs of any owner on any node: a cache of what the store holds, kept current on demand."""
+"""Reader for jobs of any owner: a cache of stored jobs that is refreshed on demand."""
 
 import asyncio
 from collections import OrderedDict
@@ -39,7 +39,7 @@
 
 
 class JobReader:
-    """Reads jobs that other nodes own.
+    """Reads jobs that other nodes own, and caches those that this node owned.
 
     Args:
         store: The coordination store.
@@ -52,39 +52,39 @@
         self._cache: OrderedDict[str, _CachedJob] = OrderedDict()
 
     def remember(self, job: Job, results: list[ItemResult], revision: int = 0) -> None:
-        """Keep a job that this node has owned."""
-        self._put(job.id, _CachedJob(job, list(results), revision))
+        """Put a job into the cache; revision 0 if its results were not read from the store."""
+        self._insert(job.id, _CachedJob(job, list(results), revision))
 
     def knows(self, job_id: str) -> bool:
-        """Whether the job itself is in the cache."""
+        """Whether the job is in the cache."""
         return job_id in self._cache
 
     def whole(self, job_id: str) -> tuple[Job, list[ItemResult]] | None:
-        """Return a cached job whose results are all listed, so that nothing of it can change."""
+        """Return a cached job and its results if all are listed, so that it cannot change."""
         cached = self._cache.get(job_id)
         if cached is None or not cached.is_listed_whole:
             return None
         return cached.job, cached.results
 
     def note_ended(self, job_id: str) -> None:
-        """A job was ended: nothing more needs to be waited for."""
+        """Record that a job was ended, so that reads no longer wait for results."""
         cached = self._cache.get(job_id)
         if cached is not None:
             cached.is_ended = True
 
     async def job(self, job_id: str) -> Job | Unavailable | None:
-        """Return a job; ``None`` if there certainly is none."""
+        """Return a job; ``None`` if it certainly does not exist."""
         cached = await self._find(job_id)
         return cached.job if isinstance(cached, _CachedJob) else cached
 
     async def results(
         self, job_id: str, after: int, wait_s: float
     ) -> tuple[Job, list[ItemResult]] | Unavailable | None:
-        """Return a job and all results known, waiting until there is one behind ``after``.
+        """Return a job and all known results, after waiting for more than ``after`` of them.
 
         Args:
-            job_id: The job.
-            after: Number of results the caller has.
+            job_id: Identifier of the job.
+            after: Number of results that the caller has.
             wait_s: Longest wait, in seconds.
         """
         cached = await self._find(job_id)
@@ -104,9 +104,9 @@
         stored = await self._log.load(job_id)
         if not isinstance(stored, StoredJob):
             return stored
-        return self._put(job_id, _CachedJob(stored.job, stored.results, stored.revision))
+        return self._insert(job_id, _CachedJob(stored.job, stored.results, stored.revision))
 
-    def _put(self, job_id: str, cached: _CachedJob) -> _CachedJob:
+    def _insert(self, job_id: str, cached: _CachedJob) -> _CachedJob:
         self._cache[job_id] = cached
         self._cache.move_to_end(job_id)
         while len(self._cache) > MAX_CACHED_JOBS:
--- a/src/hollowrack/jobs/job_runner.py
+++ b/src/hollowrack/jobs/job_runner.py
@@ -1,4 +1,7 @@
-"""Runs one job on its owner: all items, and the listing of their results."""
+"""Execution of one job on its owner: all items, and the listing of their results.
+
+A result is listed once it is stored at its position in the job's results.
+"""
 
 import asyncio
 import contextlib
@@ -27,33 +30,38 @@
 from hollowrack.slots.types import OpenWork
 from hollowrack.tasks import cancel_all
 
-# Results that finish close together are listed by one write. A trainer uses whole groups, so those
+# Results that finish close together share a write. Trainers use complete groups only, so results
 # that complete none may wait longer.
 GATHER_S = 0.2
 PARTIAL_GATHER_S = 0.8
-# What items generate is saved with the results that are listed, but not more often than this.
+# Progress is saved in the writes that list results, but not more often than this.
 MIN_SAVE_AGE_S = 0.5
 RETRY_PAUSE_S = 0.25
 MAX_BATCH_BYTES = 500_000
-# Writes of an earlier owner may be done as late as this after the job was taken over.
+# Writes of a former owner may be applied up to this long after the takeover.
 LATE_WRITES_S = 8.0
 LATE_WRITES_LOOK_S = 0.6
 
 
 class JobRunner:
-    """Owns one unfinished job, and runs it from its construction on.
+    """Runs one unfinished job on its owner; starts when it is constructed.
 
     Args:
         job: The job.
-        results: Results listed already.
-        log: Its durable state.
-        progress: Keeps what its items generate.
-        services: What running items takes.
-        sequence: Number of the job on this node; earlier jobs go first.
-        on_done: Called once the job needs nothing more from this node.
+        results: Results listed so far.
+        log: Durable state of jobs.
+        progress: Access to the stored events of unfinished items.
+        services: Components shared by all item runners of the node.
+        sequence: Number of the job on this node; earlier jobs have lower ones.
+        on_done: Called when the job ends on this node, for whatever reason.
         is_taken_over: Whether another process owned the job before.
-        kept: What is kept of its unfinished items.
+        saved_events: Stored events of its unfinished items.
         unlisted: Results of an earlier owner that may not be listed yet.
+
+    Attributes:
+        results: Results listed so far, in order.
+        changed: Set, and replaced by a new event, when results are listed or the runner stops.
+        task: Completes when the job ends on this node.
     """
 
     def __init__(
@@ -66,7 +74,7 @@
         sequence: int,
         on_done: Callable[["JobRunner"], None],
         is_taken_over: bool = False,
-        kept: KeptEvents | None = None,
+        saved_events: KeptEvents | None = None,
         unlisted: Sequence[ItemResult] = (),
     ) -> None:
         self.job = job
@@ -78,20 +86,20 @@
         self._on_done = on_done
         listed = {result.item_id for result in results}
         self._finished = [result for result in unlisted if result.item_id not in listed]
-        self._has_finished = asyncio.Event()
-        self._finished_another = asyncio.Event()
+        self._listing_due = asyncio.Event()
+        self._item_finished = asyncio.Event()
         if self._finished:
-            self._has_finished.set()
-        self._kept = kept or {}
+            self._listing_due.set()
+        self._saved_events = saved_events or {}
         self._item_tasks: dict[str, asyncio.Task[None]] = {}
         self._item_runners: dict[str, ItemRunner] = {}
         self._order = JobOrder(job, services, self._standing, self._open_runners)
-        self._ended_s: dict[str, float] = {}
+        self._item_end_s: dict[str, float] = {}
         self._saver = ProgressSaver(job.id, progress, self._item_runners.values)
-        self._listing = asyncio.Lock()
-        self._follow_task: asyncio.Task[None] | None = None
+        self._listing_lock = asyncio.Lock()
+        self._late_writes_task: asyncio.Task[None] | None = None
         if is_taken_over:
-            self._follow_task = asyncio.create_task(self._follow_late_writes())
+            self._late_writes_task = asyncio.create_task(self._poll_late_writes())
         self._saver_task = asyncio.create_task(self._saver.run())
         self.task = asyncio.create_task(self._run())
 
@@ -101,89 +109,91 @@
         return len(self.results) >= len(self.job.items)
 
     async def stop(self) -> None:
-        """Cancel whatever still runs; nothing more is listed."""
-        await cancel_all(self.task, self._saver_task, self._follow_task, *self._item_tasks.values())
-        self._notify()
+        """Cancel all tasks of the job; nothing more is listed."""
+        await cancel_all(
+            self.task, self._saver_task, self._late_writes_task, *self._item_tasks.values()
+        )
+        self._notify_changed()
 
     async def _run(self) -> None:
         try:
             self._start_items()
             while not self.is_listed_whole:
-                await self._has_finished.wait()
-                await self._gather()
-                async with self._listing:
+                await self._listing_due.wait()
+                await self._wait_for_batch()
+                async with self._listing_lock:
                     if not self._finished:
-                        self._has_finished.clear()
+                        self._listing_due.clear()
                     elif not await self._list_finished():
                         return
         except Exception:
-            logging.exception("job %s stopped by a fault of the program", self.job.id)
+            logging.exception("job %s stopped on this node by an unexpected error", self.job.id)
         finally:
             self._saver_task.cancel()
             for task in self._item_tasks.values():
                 task.cancel()
-            if self._follow_task is not None:
-                self._follow_task.cancel()
+            if self._late_writes_task is not None:
+                self._late_writes_task.cancel()
             self._on_done(self)
 
-    async def _gather(self) -> None:
-        """Wait for more results; not at all once the trainer has what it waits for."""
+    async def _wait_for_batch(self) -> None:
+        """Wait for more results to share the write, unless the trainer needs no more groups."""
         end_s = now_s() + PARTIAL_GATHER_S
-        while not self._has_whole_unlisted_group():
+        while not self._completes_a_group():
             if now_s() >= end_s or not self._finished:
                 return
-            self._finished_another.clear()
+            self._item_finished.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout_at(end_s):
-                    await self._finished_another.wait()
+                    await self._item_finished.wait()
         done = {result.item_id for result in [*self.results, *self._finished]}
         if not has_desired_groups(self.job, done):
             await asyncio.sleep(GATHER_S)
 
-    def _has_whole_unlisted_group(self) -> bool:
-        """Whether results that are not listed yet complete a group."""
+    def _completes_a_group(self) -> bool:
+        """Return whether unlisted results complete a group."""
         unlisted = {result.item_id for result in self._finished}
         done = unlisted | {result.item_id for result in self.results}
         open_groups = {item.group for item in self.job.items if item.id not in done}
         return any(item.group not in open_groups for item in self.job.items if item.id in unlisted)
 
-    async def _follow_late_writes(self) -> None:
-        """List what an earlier owner's last writes have listed since the job was read.
+    async def _poll_late_writes(self) -> None:
+        """Load results that late writes of a former owner have listed since the job was loaded.
 
-        Other nodes read such results from the store; this one must not know fewer.
+        Other nodes read such results from the store, and this node must not serve fewer.
         """
         end_s = now_s() + LATE_WRITES_S
         while now_s() < end_s:
             await asyncio.sleep(LATE_WRITES_LOOK_S)
             listed = await self._log.read_results(self.job.id)
             if isinstance(listed, list) and len(listed) > len(self.results):
-                async with self._listing:
+                async with self._listing_lock:
                     await self._catch_up()
-                # The job may be whole now, though no item has finished here.
-                self._has_finished.set()
+                # The job may be complete now although no item has finished here.
+                self._listing_due.set()
 
     async def save_progress(self) -> None:
-        """Save what running items have generated, for the job's next owner."""
+        """Save the events of running items for the job's next owner."""
         await self._saver.save()
 
     def has_waiting(self, service: str) -> bool:
-        """Whether any item waits for a slot at a service."""
+        """Return whether any item waits for a slot at a service."""
         runners = self._item_runners.values()
         return any(runner.is_waiting and runner.generates_at == service for runner in runners)
 
     def open_work(self, service: str, lives: Mapping[str, int]) -> OpenWork | None:
-        """Return what is left to generate at a service; ``None`` if nothing is.
+        """Return the open work at a service; ``None`` if there is none.
 
         Args:
-            service: The service.
-            lives: Position of each life of a worker by its text.
+            service: Name of the service.
+            lives: Position of each worker incarnation in the report, by its text form.
         """
         runners = list(self._item_runners.values())
         workers = self._services.workers
         return open_work_of(self.job, self._standing, runners, service, lives, workers)
 
     def remainder(self) -> JobRemainder:
-        """Return what this owner holds that may not be in the store."""
+        """Return the events and results that may be missing from the store."""
         items = [
             ItemProgress(item_id, 0, 0, tuple(kept_event(event) for event in runner.events))
             for item_id, runner in self._item_runners.items()
@@ -204,7 +214,7 @@
         for item in self.job.items:
             if item.id in listed:
                 continue
-            kept = self._kept.get(item.id, ())
+            saved_events = self._saved_events.get(item.id, ())
             runner = ItemRunner(
                 self._services,
                 self.job,
@@ -212,13 +222,13 @@
                 self._standing,
                 self._order.place_of,
                 self._order.decide_anew,
-                kept,
+                saved_events,
             )
             self._item_runners[item.id] = runner
             self._item_tasks[item.id] = asyncio.create_task(self._run_item(runner))
 
     def _open_runners(self) -> dict[str, ItemRunner]:
-        """The items that run or wait, by identifier."""
+        """Return the runners of items without a listed result, by item identifier."""
         listed = {result.item_id for result in self.results}
         return {
             item_id: runner
@@ -230,69 +240,73 @@
         result = await runner.run()
         self._item_runners.pop(runner.item_id, None)
         self._finished.append(result)
-        self._ended_s[result.item_id] = now_s()
-        self._has_finished.set()
-        self._finished_another.set()
+        self._item_end_s[result.item_id] = now_s()
+        self._listing_due.set()
+        self._item_finished.set()
         self._order.decide_anew()
 
     async def _list_finished(self) -> bool:
-        """List what has finished; returns whether the job still belongs to this node."""
+        """List finished results; ``False`` if another process owns the job now."""
         batch = _first_batch(self._finished)
         position = len(self.results)
         is_last = position + len(batch) == len(self.job.items)
-        unsaved = None if is_last else self._saver.unsaved(MIN_SAVE_AGE_S)
-        also = [] if unsaved is None else [unsaved.record]
-        outcome = await self._log.append(self.job.id, position, batch, is_last, also)
+        unsaved_progress = None if is_last else self._saver.unsaved(MIN_SAVE_AGE_S)
+        extra_puts = [] if unsaved_progress is None else [unsaved_progress.record]
+        outcome = await self._log.append(self.job.id, position, batch, is_last, extra_puts)
         if outcome is AppendOutcome.APPENDED:
-            if unsaved is not None:
-                self._saver.note_saved(unsaved)
+            if unsaved_progress is not None:
+                self._saver.note_saved(unsaved_progress)
             self._finished = self._finished[len(batch) :]
-            self._take_listed([*self.results, *batch])
+            self._update_results([*self.results, *batch])
             return True
         if outcome is AppendOutcome.OVERTAKEN:
             return await self._catch_up()
         await asyncio.sleep(RETRY_PAUSE_S)
         return True
 
-    def _note_listed(self, results: Sequence[ItemResult]) -> None:
-        """Count how long results that ended here waited until they were listed."""
+    def _record_listing_latency(self, results: Sequence[ItemResult]) -> None:
+        """Record the time between the end and the listing of results of this node."""
         for result in results:
-            ended_s = self._ended_s.pop(result.item_id, None)
+            ended_s = self._item_end_s.pop(result.item_id, None)
             if ended_s is not None:
                 statistics = self._services.queue.statistics
                 statistics.note_wait(WaitPlace.LISTING, now_s() - ended_s)
 
     async def _catch_up(self) -> bool:
-        """Another writer, or an own write whose answer was lost, came first."""
+        """Load results listed by another writer, or by an own write whose answer was lost.
+
+        Returns:
+            ``False`` if another process owns the job now.
+        """
         listed = await self._log.read_results(self.job.id)
         owner = await self._log.owner_of(self.job.id)
         if isinstance(listed, NotDone | Unknown) or isinstance(owner, NotDone | Unknown):
             await asyncio.sleep(RETRY_PAUSE_S)
             return True
-        known = {result.item_id for result in listed}
-        self._finished = [result for result in self._finished if result.item_id not in known]
-        for item_id in known & self._item_tasks.keys():
+        listed_ids = {result.item_id for result in listed}
+        self._finished = [result for result in self._finished if result.item_id not in listed_ids]
+        for item_id in listed_ids & self._item_tasks.keys():
             self._item_tasks[item_id].cancel()
-        self._take_listed(listed)
+        self._update_results(listed)
         if owner is not None and owner != self._log.owner:
-            logging.warning("job %s belongs to %s now", self.job.id, owner)
+            logging.warning("job %s is now owned by %s; stopping it here", self.job.id, owner)
             return False
         return True
 
-    def _take_listed(self, results: list[ItemResult]) -> None:
-        self._note_listed(results[len(self.results) :])
+    def _update_results(self, results: list[ItemResult]) -> None:
+        self._record_listing_latency(results[len(self.results) :])
         self.results = results
         if not self._finished:
-            self._has_finished.clear()
-        self._notify()
+            self._listing_due.clear()
+        self._notify_changed()
 
-    def _notify(self) -> None:
+    def _notify_changed(self) -> None:
         self.changed.set()
         self.changed = asyncio.Event()
 
 
 def has_desired_groups(job: Job, done: Collection[str]) -> bool:
-    """Whether as many groups are whole as the job's trainer waits for.
+    """Return whether as many groups are complete as the job's trainer waits for.
 
     Args:
         job: The job.
@@ -305,7 +319,7 @@
 
 
 def _first_batch(finished: list[ItemResult]) -> list[ItemResult]:
-    """The first results that fit one write; at least one."""
+    """Return the first results that fit one write, at least one."""
     size = 0
     for index, result in enumerate(finished):
         size += len(result.text.encode())
--- a/src/hollowrack/jobs/job_service.py
+++ b/src/hollowrack/jobs/job_service.py
@@ -1,4 +1,4 @@
-"""Reads and ends jobs on one node, and runs those that it owns."""
+"""Job service of one node: accepts, reads and ends jobs, and runs those that it owns."""
 
 import asyncio
 import itertools
@@ -28,9 +28,9 @@
 END_PAUSE_S = 0.25
 END_PATIENCE_S = 3.0
 READ_RETRY_AFTER_S = 0.3
-# A job is seen by all nodes within two looks at the feed, each a fifth of a second apart.
+# All nodes see a new job within two polls of the feed of changes, which are 0.2 s apart.
 MAX_UNSEEN_S = 0.5
-# Jobs that were left lately, about which their new owners may ask.
+# Jobs lost to other owners whose remainder is kept for requests of these.
 MAX_LEFT_JOBS = 4
 
 
@@ -39,8 +39,8 @@
     """Results of a job from a position on.
 
     Attributes:
-        num_items: Items of the job.
-        results: The results, in order.
+        num_items: Number of items of the job.
+        results: Listed results in order.
     """
 
     num_items: int
@@ -48,20 +48,20 @@
 
 
 class JobService:
-    """All jobs, as one node sees them.
+    """Accepts, reads and ends jobs of all owners, and runs the jobs that this node owns.
 
     Args:
         log: Durable state of jobs.
-        progress: Keeps what unfinished items generate.
+        progress: Access to the stored events of unfinished items.
         reader: Reads jobs of other owners.
-        services: What running items takes.
-        peers: Hands jobs to other nodes.
-        peer_addresses: Returns where other nodes are reached, the preferred ones first.
-        live: The live processes and the open jobs, as this node sees them.
-        session: Proves that this process may still own what it owned.
+        services: Components shared by all item runners of the node.
+        peers: Client for requests to other nodes.
+        peer_addresses: Returns the addresses of other nodes in order of preference.
+        live: Cluster state as seen by this node.
+        session: Session whose validity proves that this process still owns its jobs.
 
     Attributes:
-        intake: Accepts jobs.
+        intake: Accepts and stores new jobs.
     """
 
     def __init__(
@@ -84,28 +84,28 @@
         self._reader = reader
         self._services = services
         self._runners: dict[str, JobRunner] = {}
-        self._left: OrderedDict[str, JobRemainder] = OrderedDict()
+        self._remainders: OrderedDict[str, JobRemainder] = OrderedDict()
         self._sequence = itertools.count()
         self._background: set[asyncio.Task[Any]] = set()
 
     @property
     def num_running(self) -> int:
-        """How many unfinished jobs this node owns."""
+        """Number of unfinished jobs that this node owns."""
         return len(self._runners)
 
     def owns(self, job_id: str) -> bool:
-        """Whether this node runs a job."""
+        """Return whether this node runs a job."""
         return job_id in self._runners
 
     # -- accepting --------------------------------------------------------------------------
 
     async def submit(self, job: Job) -> Problem | None:
-        """Accept a job, here or at another node; ``None`` once it is stored for good."""
+        """Accept a job, here or at another node; ``None`` once it is stored durably."""
         version = self._services.routes.version or 0
         return await self.intake.submit(replace(job, configuration_version=version))
 
     async def submit_here(self, job: Job) -> Problem | None:
-        """Accept a job on this node; ``None`` once it is stored for good."""
+        """Accept a job on this node; ``None`` once it is stored durably."""
         return await self.intake.submit_here(job)
 
     def own(
@@ -113,16 +113,16 @@
         job: Job,
         results: list[ItemResult],
         is_taken_over: bool = False,
-        kept: KeptEvents | None = None,
+        saved_events: KeptEvents | None = None,
         unlisted: Sequence[ItemResult] = (),
     ) -> None:
-        """Run a job on this node.
+        """Run a job on this node, unless it runs already or the node is stopping.
 
         Args:
             job: The job.
-            results: Its results listed so far.
+            results: Results listed so far.
             is_taken_over: Whether another process owned it before.
-            kept: What is kept of its unfinished items.
+            saved_events: Stored events of its unfinished items.
             unlisted: Results of an earlier owner that may not be listed yet.
         """
         if self.intake.is_stopping or job.id in self._runners:
@@ -136,7 +136,7 @@
             next(self._sequence),
             self._on_done,
             is_taken_over,
-            kept,
+            saved_events,
             unlisted,
         )
         self._runners[job.id] = runner
@@ -146,8 +146,8 @@
             len(job.items),
             len(results),
             len(unlisted),
-            sum(len(events) for events in (kept or {}).values()),
-            len(kept or {}),
+            sum(len(events) for events in (saved_events or {}).values()),
+            len(saved_events or {}),
             self._services.routes.describe(),
         )
 
@@ -159,60 +159,60 @@
     # -- reading ----------------------------------------------------------------------------
 
     async def read(self, job_id: str, after: int, wait_s: float) -> ResultPage | Problem:
-        """Return the results from a position on, waiting until there is one."""
+        """Return the results from a position on, after waiting at most ``wait_s`` for the first."""
         runner = self._runners.get(job_id)
         if runner is not None:
             if len(runner.results) <= after:
                 await _wait_for(runner.changed, wait_s)
             return ResultPage(len(runner.job.items), runner.results[after:])
         if self._reader.whole(job_id) is None:
-            # The owner knows more than the store, and a caller that waits loses nothing.
+            # The owner has newer results than the store, so wait until this node knows the owner.
             await self._live.wait_for_job(job_id, min(wait_s, MAX_UNSEEN_S))
-            page = await self._read_at_owner(ReadJob(job_id, after, wait_s))
+            page = await self._read_from_owner(ReadJob(job_id, after, wait_s))
             if page is not None:
                 return ResultPage(page.num_items, list(page.results))
         found = await self._reader.results(job_id, after, wait_s)
         if found is None:
-            return _unknown_job(job_id)
+            return _unknown_job_problem(job_id)
         if isinstance(found, NotDone | Unknown):
-            return _unsure(job_id, found.reason)
+            return _unsure_problem(job_id, found.reason)
         job, results = found
         return ResultPage(len(job.items), results[after:])
 
-    async def _read_at_owner(self, request: ReadJob) -> JobPage | None:
+    async def _read_from_owner(self, request: ReadJob) -> JobPage | None:
         address = self._live.owner_address(request.job_id)
         return None if address is None else await self._peers.read(address, request)
 
     async def answer_peer(self, request: ReadJob) -> JobPage:
-        """Answer another node, if this one owns the job for sure or holds all its results."""
+        """Answer a read of another node if this one certainly owns the job or has all results."""
         runner = self._runners.get(request.job_id)
         if runner is None:
-            return self._whole_page(request)
+            return self._complete_page(request)
         if len(runner.results) <= request.after:
             await _wait_for(runner.changed, request.wait_s)
-        # A process whose session may be over may have lost the job to another one.
+        # A process whose session may have expired may have lost the job to another owner.
         if not self._session.is_valid:
             return JobPage(is_owner=False)
         results = tuple(runner.results[request.after :])
         job = runner.job if request.with_job else None
         return JobPage(True, len(runner.job.items), results, job)
 
-    def _whole_page(self, request: ReadJob) -> JobPage:
-        """Answer for a job that was owned here, if all its results are listed: none can change."""
-        whole = self._reader.whole(request.job_id)
-        if whole is None:
+    def _complete_page(self, request: ReadJob) -> JobPage:
+        """Answer a read of a job that was owned here, if all its results are listed."""
+        complete = self._reader.whole(request.job_id)
+        if complete is None:
             return JobPage(is_owner=False)
-        job, results = whole
-        asked_job = job if request.with_job else None
-        return JobPage(True, len(job.items), tuple(results[request.after :]), asked_job)
+        job, results = complete
+        requested_job = job if request.with_job else None
+        return JobPage(True, len(job.items), tuple(results[request.after :]), requested_job)
 
     async def _find_job(self, job_id: str) -> Job | Unavailable | None:
-        """Find a job here, at its owner or in the store; ``None`` if there certainly is none."""
+        """Find a job here, at its owner or in the store; ``None`` if it certainly is in none."""
         runner = self._runners.get(job_id)
         if runner is not None:
             return runner.job
         if not self._reader.knows(job_id):
-            page = await self._read_at_owner(ReadJob(job_id, 0, 0.0, with_job=True))
+            page = await self._read_from_owner(ReadJob(job_id, 0, 0.0, with_job=True))
             if page is not None and page.job is not None:
                 self._reader.remember(page.job, list(page.results))
                 return page.job
@@ -222,9 +222,9 @@
         """Return an item of a job."""
         job = await self._find_job(job_id)
         if job is None:
-            return _unknown_job(job_id)
+            return _unknown_job_problem(job_id)
         if isinstance(job, NotDone | Unknown):
-            return _unsure(job_id, job.reason)
+            return _unsure_problem(job_id, job.reason)
         for item in job.items:
             if item.id == item_id:
                 return item
@@ -233,75 +233,74 @@
     # -- ending -----------------------------------------------------------------------------
 
     async def end(self, job_id: str) -> Problem | None:
-        """End a job; ``None`` once that is stored for good."""
+        """End a job; ``None`` once the end is stored durably."""
         if job_id not in self._runners and not self._live.knows_job(job_id):
             job = await self._find_job(job_id)
             if job is None:
-                return _unknown_job(job_id)
+                return _unknown_job_problem(job_id)
             if isinstance(job, NotDone | Unknown):
-                return _unsure(job_id, job.reason)
+                return _unsure_problem(job_id, job.reason)
         started_s = now_s()
         while not await self._log.end(job_id):
             if now_s() - started_s > END_PATIENCE_S:
-                return _unsure(job_id, "the end could not be stored")
+                return _unsure_problem(job_id, "the end of the job could not be stored")
             await asyncio.sleep(END_PAUSE_S)
         self.note_ended(job_id)
         return None
 
     def note_ended(self, job_id: str) -> None:
-        """A job was ended, here or elsewhere: stop its items."""
+        """Stop a job that was ended here or at another node."""
         runner = self._runners.get(job_id)
         if runner is not None:
             logging.info("job %s: ended, %d listed", job_id, len(runner.results))
-            self._keep(asyncio.create_task(runner.stop()))
+            self._track_task(asyncio.create_task(runner.stop()))
         self._reader.note_ended(job_id)
 
     def note_replaced(self, job: OpenJob) -> None:
-        """Another process owns a job now: leave it, it runs there and is read there.
+        """Stop a job that another process owns now.
 
-        What the view tells of a job's owner is never older than what this process claimed it on.
+        The owner in the cluster state is never older than the entry that this process claimed.
         """
         runner = self._runners.get(job.job_id)
         if runner is not None:
             logging.warning("job %s: belongs to %s now, left", job.job_id, job.owner)
-            self._leave(runner)
+            self._stop_lost_job(runner)
 
-    def _leave(self, runner: JobRunner) -> None:
-        """Stop running a job, and remember for its new owner what was held of it."""
-        self._left[runner.job.id] = runner.remainder()
-        while len(self._left) > MAX_LEFT_JOBS:
-            self._left.popitem(last=False)
-        self._keep(asyncio.create_task(runner.stop()))
+    def _stop_lost_job(self, runner: JobRunner) -> None:
+        """Stop running a job, and keep its remainder for the new owner."""
+        self._remainders[runner.job.id] = runner.remainder()
+        while len(self._remainders) > MAX_LEFT_JOBS:
+            self._remainders.popitem(last=False)
+        self._track_task(asyncio.create_task(runner.stop()))
 
     def remainder(self, job_id: str) -> JobRemainder:
-        """Return what this node holds of a job that it owns or owned."""
+        """Return the remainder of a job that this node owns or owned; empty if there is none."""
         runner = self._runners.get(job_id)
         if runner is not None:
             return runner.remainder()
-        return self._left.get(job_id, JobRemainder())
+        return self._remainders.get(job_id, JobRemainder())
 
     def has_waiting(self, service: str) -> bool:
-        """Whether any item of the jobs owned here waits for a slot at a service."""
+        """Return whether any item of the jobs owned here waits for a slot at a service."""
         return any(runner.has_waiting(service) for runner in self._runners.values())
 
     def open_work(self, service: str, lives: Mapping[str, int]) -> list[OpenWork]:
-        """Return what is left to generate of the jobs owned here; see :class:`OpenWorkSource`."""
-        works = (runner.open_work(service, lives) for runner in self._runners.values())
-        return [work for work in works if work is not None]
+        """Return the open work of the jobs owned here; see :class:`OpenWorkSource`."""
+        open_works = (runner.open_work(service, lives) for runner in self._runners.values())
+        return [work for work in open_works if work is not None]
 
     # -- stopping ---------------------------------------------------------------------------
 
     def refuse_new(self) -> None:
-        """Accept and take over nothing more; owned jobs go on."""
+        """Accept and take over no more jobs; owned jobs continue."""
         self.intake.is_stopping = True
 
     async def drain(self, patience_s: float, hand_over_s: float = 0.0) -> None:
-        """Accept nothing more, and let owned jobs finish for a while; then hand them over.
+        """Accept no more jobs, let owned ones finish for a limited time, then hand the rest over.
 
         Args:
-            patience_s: How long they may go on, in seconds.
-            hand_over_s: How long handing over may take then, in seconds; 0 to leave them as they
-                are.
+            patience_s: How long owned jobs may continue, in seconds.
+            hand_over_s: How long the handover of the rest may take, in seconds; 0 to skip it.
         """
         self.refuse_new()
         if self._runners:
@@ -314,7 +313,7 @@
         await cancel_all(*self._background)
 
     async def _hand_over(self, runner: JobRunner, timeout_s: float) -> None:
-        """Leave an unfinished job to the process that should own it next, with all it has."""
+        """Save the progress of an unfinished job and assign it to its preferred next owner."""
         try:
             async with asyncio.timeout(timeout_s):
                 await runner.save_progress()
@@ -328,7 +327,7 @@
             logging.warning("job %s: left, the store does not answer", runner.job.id)
         await runner.stop()
 
-    def _keep(self, task: asyncio.Task[Any]) -> None:
+    def _track_task(self, task: asyncio.Task[Any]) -> None:
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
@@ -341,9 +340,9 @@
         return
 
 
-def _unknown_job(job_id: str) -> Problem:
+def _unknown_job_problem(job_id: str) -> Problem:
     return Problem(ResultCode.UNKNOWN_JOB, "there is no such job", job_id)
 
 
-def _unsure(job_id: str, reason: str) -> Problem:
+def _unsure_problem(job_id: str, reason: str) -> Problem:
     return Problem(ResultCode.JOB_UNSURE, reason, job_id, READ_RETRY_AFTER_S)
--- a/src/hollowrack/jobs/open_work.py
+++ b/src/hollowrack/jobs/open_work.py
@@ -1,4 +1,4 @@
-"""The unfinished generations of one job, as the arbiter of slots hears of them."""
+"""Summary of a job's unfinished generations for the arbiter of slots."""
 
 from collections.abc import Iterable, Mapping
 
@@ -11,7 +11,7 @@
 from hollowrack.jobs.types import Job
 from hollowrack.slots.types import OpenWork
 
-# Where the route is not known yet its items have not begun either.
+# Used only before the route is known, when no item has started.
 UNKNOWN_PRIORITY = 0
 
 
@@ -27,29 +27,31 @@
 
     Args:
         job: The job.
-        standing: When it is due.
-        runners: Its unfinished items.
-        service: The service.
-        lives: Position of each life in the report by its text.
-        workers: The workers known.
+        standing: Deadline of the job.
+        runners: Runners of its unfinished items.
+        service: Name of the service.
+        lives: Position of each worker incarnation in the report, by its text form.
+        workers: Directory of known workers.
     """
-    here = [runner for runner in runners if runner.generates_at == service]
-    if not here:
+    at_service = [runner for runner in runners if runner.generates_at == service]
+    if not at_service:
         return None
-    num_waiting = sum(runner.is_waiting for runner in here)
-    route = here[0].route
+    num_waiting = sum(runner.is_waiting for runner in at_service)
+    route = at_service[0].route
     due_s = standing.due_s(route)
     return OpenWork(
         UNKNOWN_PRIORITY if route is None else route.priority,
         None if due_s == NEVER_DUE_S else due_s - now_s(),
-        len(here) - num_waiting,
+        len(at_service) - num_waiting,
         num_waiting,
-        _eligible(job, workers.placeable(service), lives),
+        _eligible_positions(job, workers.placeable(service), lives),
     )
 
 
-def _eligible(job: Job, workers: Iterable[Worker], lives: Mapping[str, int]) -> tuple[int, ...]:
-    """Positions of the lives at which a job may run."""
+def _eligible_positions(
+    job: Job, workers: Iterable[Worker], lives: Mapping[str, int]
+) -> tuple[int, ...]:
+    """Return the positions of the worker incarnations at which a job may run."""
     positions = (
         lives.get(str(worker.life))
         for worker in workers
--- a/src/hollowrack/jobs/peers.py
+++ b/src/hollowrack/jobs/peers.py
@@ -1,4 +1,4 @@
-"""What nodes ask each other about jobs: to own one, to read one from its owner."""
+"""Requests between nodes about jobs: submission, reads at the owner, and handover state."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, replace
@@ -22,7 +22,7 @@
 SUBMIT_PATH = "/jobs"
 READ_PATH = "/jobs/read"
 REMAINDER_PATH = "/jobs/remainder"
-# A former owner may be dead or cut off; what it holds is not worth a longer wait.
+# A former owner may be down or partitioned; its state is not worth a longer wait.
 REMAINDER_TIMEOUT_S = 0.6
 READ_GRACE_S = 0.4
 MAX_READ_WAIT_S = 5.0
@@ -31,11 +31,11 @@
 @message("job.submitted")
 @dataclass(frozen=True)
 class SubmitAnswer:
-    """What another node says of a job handed to it.
+    """Answer of a node to a submitted job.
 
     Attributes:
-        code: Result code; ``OK`` if the job is stored for good.
-        detail: What is wrong, if anything is.
+        code: Result code; ``OK`` if the job is stored durably.
+        detail: Description of the problem; empty for ``OK``.
     """
 
     code: int
@@ -48,10 +48,10 @@
     """Asks a job's owner for results from a position on.
 
     Attributes:
-        job_id: The job.
-        after: The position.
+        job_id: Identifier of the job.
+        after: Position of the first requested result, which is the number already read.
         wait_s: Longest wait for a result, in seconds.
-        with_job: Whether the job itself is asked for as well.
+        with_job: Whether the answer should include the job.
     """
 
     job_id: str
@@ -63,14 +63,14 @@
 @message("job.page")
 @dataclass(frozen=True)
 class JobPage:
-    """An owner's answer.
+    """Answer of a job's owner to a read.
 
     Attributes:
-        is_owner: Whether the node owns the job for sure, or holds all its results; otherwise
-            nothing else is told.
-        num_items: Items of the job.
-        results: Results from the position on.
-        job: The job, if it was asked for.
+        is_owner: Whether the node certainly owns the job or has all its results; if not, the other
+            fields are unset.
+        num_items: Number of items of the job.
+        results: Results from the requested position on.
+        job: The job, if it was requested.
     """
 
     is_owner: bool
@@ -82,60 +82,64 @@
 @message("job.leave")
 @dataclass(frozen=True)
 class LeftJob:
-    """Asks the former owner of a job for what it holds of it.
+    """Asks the former owner of a job for its state that may be missing from the store.
 
     Attributes:
-        job_id: The job.
+        job_id: Identifier of the job.
     """
 
     job_id: str
 
 
 class PeerJobs(Protocol):
-    """Hands jobs to other nodes and reads them there."""
+    """Client for requests to other nodes about jobs."""
 
     async def remainder(self, address: str, job_id: str) -> JobRemainder:
-        """Ask a job's former owner for what it holds; empty if it does not answer soon."""
+        """Request a job's remainder from its former owner; empty without a timely answer."""
 
     async def read(self, address: str, request: ReadJob) -> JobPage | None:
-        """Read a job at its owner; ``None`` if that node does not own it or does not answer."""
+        """Read a job at its owner; ``None`` if the node does not own it or does not answer."""
 
     async def submit(self, address: str, job: Job, timeout_s: float) -> Problem | None:
-        """Hand a job over; ``None`` once it is stored for good.
+        """Submit a job to another node; ``None`` once it is stored durably.
 
-        Fails with ``JOB_NOT_STORED`` if nothing was done, and with ``OUTCOME_UNKNOWN`` if the job
-        may be stored.
+        Returns ``JOB_NOT_STORED`` if the node did not receive it, ``OUTCOME_UNKNOWN`` if the job
+        may be stored, or the problem that the node reported.
         """
 
 
 class HttpPeerJobs:
-    """Hands jobs to other nodes over HTTP.
+    """HTTP client for requests to other nodes about jobs.
 
     Args:
-        session: HTTP session for nodes.
+        session: HTTP session for requests between nodes.
     """
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self._session = session
 
     async def submit(self, address: str, job: Job, timeout_s: float) -> Problem | None:
-        """Hand a job over."""
+        """Submit a job to another node."""
         try:
             answer = await ask_node(self._session, address, SUBMIT_PATH, job, timeout_s)
         except NodeUnreachableError:
-            return Problem(ResultCode.JOB_NOT_STORED, "no node was reached", address)
+            return Problem(ResultCode.JOB_NOT_STORED, "the node cannot be reached", address)
         except NodeSilentError:
-            return Problem(ResultCode.OUTCOME_UNKNOWN, "a node did not answer", address)
+            return Problem(
+                ResultCode.OUTCOME_UNKNOWN, "the node sent no complete answer in time", address
+            )
         if isinstance(answer, SubmitAnswer):
-            return _problem(answer, address)
-        return Problem(ResultCode.OUTCOME_UNKNOWN, "a node answered nonsense", address)
+            return _problem_of_answer(answer, address)
+        return Problem(
+            ResultCode.OUTCOME_UNKNOWN, "the node sent an answer of an unexpected type", address
+        )
 
     async def remainder(self, address: str, job_id: str) -> JobRemainder:
-        """Ask a job's former owner for what it holds."""
-        question = LeftJob(job_id)
+        """Request a job's remainder from its former owner."""
+        request = LeftJob(job_id)
         try:
             answer = await ask_node(
-                self._session, address, REMAINDER_PATH, question, REMAINDER_TIMEOUT_S
+                self._session, address, REMAINDER_PATH, request, REMAINDER_TIMEOUT_S
             )
         except (NodeUnreachableError, NodeSilentError) as error:
             logging.info("job %s: its former owner at %s tells nothing: %s", job_id, address, error)
@@ -144,21 +148,21 @@
 
     async def read(self, address: str, request: ReadJob) -> JobPage | None:
         """Read a job at its owner."""
-        total_s = request.wait_s + READ_GRACE_S
+        timeout_s = request.wait_s + READ_GRACE_S
         try:
-            page = await ask_node(self._session, address, READ_PATH, request, total_s)
+            page = await ask_node(self._session, address, READ_PATH, request, timeout_s)
         except (NodeUnreachableError, NodeSilentError) as error:
             logging.info("job %s: not read at %s: %s", request.job_id, address, error)
             return None
         return page if isinstance(page, JobPage) and page.is_owner else None
 
 
-def _problem(answer: SubmitAnswer, address: str) -> Problem | None:
+def _problem_of_answer(answer: SubmitAnswer, address: str) -> Problem | None:
     try:
         code = ResultCode(answer.code)
     except ValueError:
-        # A node of a later version: what it did with the job is not known here.
-        detail = f"a node answered with the unknown code {answer.code}"
+        # A node of a newer release: whether it stored the job is unknown.
+        detail = f"the node answered with the unknown result code {answer.code}"
         return Problem(ResultCode.OUTCOME_UNKNOWN, detail, address)
     return None if code is ResultCode.OK else Problem(code, answer.detail, address)
 
@@ -168,29 +172,29 @@
     read: Callable[[ReadJob], Awaitable[JobPage]],
     remainder: Callable[[str], JobRemainder],
 ) -> list[Route]:
-    """Return the routes that answer other nodes about jobs.
+    """Return the HTTP routes that answer other nodes' requests about jobs.
 
     Args:
-        submit: Stores a job on this node, without handing it on.
+        submit: Stores a job on this node without forwarding it.
         read: Reads a job that this node owns.
-        remainder: Returns what this node holds of a job that it owned.
+        remainder: Returns the remainder of a job that this node owned.
     """
 
-    async def take(job: Job) -> SubmitAnswer:
+    async def submit_job(job: Job) -> SubmitAnswer:
         problem = await submit(job)
         if problem is None:
             return SubmitAnswer(int(ResultCode.OK))
         return SubmitAnswer(int(problem.code), problem.detail)
 
-    async def read_page(asked: ReadJob) -> JobPage:
-        wait_s = min(MAX_READ_WAIT_S, max(0.0, asked.wait_s))
-        return await read(replace(asked, wait_s=wait_s))
+    async def read_page(request: ReadJob) -> JobPage:
+        wait_s = min(MAX_READ_WAIT_S, max(0.0, request.wait_s))
+        return await read(replace(request, wait_s=wait_s))
 
-    async def give_remainder(asked: LeftJob) -> JobRemainder:
-        return remainder(asked.job_id)
+    async def read_remainder(request: LeftJob) -> JobRemainder:
+        return remainder(request.job_id)
 
     return [
-        question_route(REMAINDER_PATH, (LeftJob,), give_remainder),
-        question_route(SUBMIT_PATH, (Job,), take),
+        question_route(REMAINDER_PATH, (LeftJob,), read_remainder),
+        question_route(SUBMIT_PATH, (Job,), submit_job),
         question_route(READ_PATH, (ReadJob,), read_page),
     ]
