--- a/src/hollowrack/jobs/item_order.py
+++ b/src/hollowrack/jobs/item_order.py
@@ -19,30 +19,30 @@
 
 # Trainers resubmit unfinished groups at the head of a later job: at most this fraction of the
 # groups that they wait for. Resubmitted groups are always needed.
-MAX_RETURNED_SHARE = 0.5
+MAX_RETURNED_FRACTION = 0.5
 # A group counts as late when the remaining time is below this fraction of the expected time of its
 # longest item. Expected lengths are often twice the actual ones, and postponing a long item by
 # mistake makes its group late.
-LATE_SHARE = 0.5
+LATE_FRACTION = 0.5
 # Groups run one after the other only if the work exceeds the capacity by this factor. Below it, the
 # longest items determine when a job is complete and must not wait.
 OVERLOAD_FACTOR = 1.5
 # Slots are idle while the last items run, and expected lengths are inaccurate.
-USABLE_SHARE = 0.9
+USABLE_FRACTION = 0.9
 
 
 @dataclass(frozen=True)
-class ItemPlace:
+class ItemRank:
     """Rank of an item in the order of its job.
 
     Attributes:
         is_surplus: Whether the trainer does not need the item's group.
-        group_place: Rank of its group from 1; 0 for all needed groups if they run concurrently.
+        group_rank: Rank of its group from 1; 0 for all needed groups if they run concurrently.
         group_time_s: Expected time left of the longest item of its group, in seconds; 0 if unknown.
     """
 
     is_surplus: bool = False
-    group_place: int = 0
+    group_rank: int = 0
     group_time_s: float = 0.0
 
     def usefulness(self, time_left_s: float) -> Usefulness:
@@ -53,22 +53,22 @@
         """
         if self.is_surplus:
             return Usefulness.SURPLUS
-        is_late = time_left_s < LATE_SHARE * self.group_time_s
+        is_late = time_left_s < LATE_FRACTION * self.group_time_s
         return Usefulness.LATE if is_late else Usefulness.IN_TIME
 
 
 @dataclass(frozen=True)
-class Outlook:
+class CapacityForecast:
     """Tokens that can be generated for a job before its deadline.
 
     Attributes:
         time_left_s: Time until the deadline, in seconds; infinite if there is none.
-        num_places: Slots that the job holds or could get now.
+        num_slots: Slots that the job holds or could get now.
         tokens_per_s: Throughput of each slot; 0 while unknown.
     """
 
     time_left_s: float
-    num_places: int
+    num_slots: int
     tokens_per_s: float
 
     def fits(self, num_tokens: int) -> bool:
@@ -78,10 +78,10 @@
         """
         if isinf(self.time_left_s):
             return True
-        usable_s = USABLE_SHARE * max(0.0, self.time_left_s)
-        return num_tokens <= OVERLOAD_FACTOR * usable_s * self.num_places * self.tokens_per_s
+        usable_s = USABLE_FRACTION * max(0.0, self.time_left_s)
+        return num_tokens <= OVERLOAD_FACTOR * usable_s * self.num_slots * self.tokens_per_s
 
-    def time_of(self, num_tokens: int) -> float:
+    def generation_time_s(self, num_tokens: int) -> float:
         """Time that one slot takes for so many tokens, in seconds; 0 while unknown."""
         return num_tokens / self.tokens_per_s if self.tokens_per_s > 0.0 else 0.0
 
@@ -95,26 +95,28 @@
     longest_item_tokens: int
 
 
-def order_items(job: Job, tokens_left: Mapping[str, int], outlook: Outlook) -> dict[str, ItemPlace]:
+def order_items(
+    job: Job, tokens_left: Mapping[str, int], capacity: CapacityForecast
+) -> dict[str, ItemRank]:
     """Return the rank of each unfinished item by its identifier.
 
     Args:
         job: The job.
         tokens_left: Tokens still expected of each unfinished item, by its identifier; 0 where
             unknown.
-        outlook: Tokens that can be generated before the job's deadline.
+        capacity: Tokens that can be generated before the job's deadline.
     """
     if not job.num_desired_groups:
-        return {item_id: ItemPlace() for item_id in tokens_left}
+        return {item_id: ItemRank() for item_id in tokens_left}
     work_left = _work_left_by_group(job, tokens_left)
     by_work_left = sorted(work_left, key=lambda group: work_left[group])
     needed = _needed_groups(job, by_work_left, work_left)
-    fit_together = outlook.fits(sum(work_left[group].num_tokens_left for group in needed))
+    fit_together = capacity.fits(sum(work_left[group].num_tokens_left for group in needed))
     ranks = {
-        group: ItemPlace(
+        group: ItemRank(
             group not in needed,
             0 if fit_together and group in needed else rank,
-            outlook.time_of(work_left[group].longest_item_tokens),
+            capacity.generation_time_s(work_left[group].longest_item_tokens),
         )
         for rank, group in enumerate(by_work_left, start=1)
     }
@@ -136,7 +138,7 @@
     job: Job, by_work_left: Sequence[str], work_left: Mapping[str, _WorkLeft]
 ) -> frozenset[str]:
     """The groups that the trainer needs: the head of the job, then those nearest to complete."""
-    num_head = int(job.num_desired_groups * MAX_RETURNED_SHARE)
+    num_head = int(job.num_desired_groups * MAX_RETURNED_FRACTION)
     head = [group for group in by_work_left if work_left[group].position < num_head]
     others = [group for group in by_work_left if work_left[group].position >= num_head]
     return frozenset([*head, *others][: job.num_desired_groups])
--- a/src/hollowrack/jobs/item_services.py
+++ b/src/hollowrack/jobs/item_services.py
@@ -8,16 +8,16 @@
 from hollowrack.forwarding.back_end import BackEndClient
 from hollowrack.forwarding.dispatch_queue import DispatchQueue
 from hollowrack.forwarding.event_stream import StreamEvent
+from hollowrack.forwarding.first_event_timeout import FirstEventTimeout
 from hollowrack.forwarding.forwarder import Forwarder
-from hollowrack.forwarding.patience import FirstEventPatience
 from hollowrack.forwarding.route_table import RouteTable
 from hollowrack.forwarding.workers import WorkerDirectory
 from hollowrack.jobs.lengths import LengthEstimate
-from hollowrack.jobs.pace import PaceEstimate
+from hollowrack.jobs.slot_throughput import SlotThroughputEstimate
 from hollowrack.quarantine.quarantine import Quarantine
 
-MIN_FIRST_EVENT_S = 0.8
-MAX_FIRST_EVENT_S = 2.5
+MIN_FIRST_EVENT_TIMEOUT_S = 0.8
+MAX_FIRST_EVENT_TIMEOUT_S = 2.5
 
 
 class GiveUpReason(Enum):
@@ -42,9 +42,9 @@
         queue: Assigns slots at workers.
         read_version: Returns the weight version that an event states; ``None`` if it states none.
         quarantine: Withholds generations that crash workers.
-        patience: Timeout of the first event of a generation, adapted to observed latencies.
+        first_event_timeout: Timeout of the first event of a generation, adapted to observed latencies.
         lengths: Estimates the number of events of items.
-        pace: Estimates the throughput of one slot.
+        slot_throughput: Estimates the throughput of one slot.
         num_given_up: Number of items given up on this node by reason.
     """
 
@@ -55,9 +55,11 @@
     queue: DispatchQueue
     read_version: Callable[[StreamEvent], int | None]
     quarantine: Quarantine
-    patience: FirstEventPatience = field(
-        default_factory=lambda: FirstEventPatience(MIN_FIRST_EVENT_S, MAX_FIRST_EVENT_S)
+    first_event_timeout: FirstEventTimeout = field(
+        default_factory=lambda: FirstEventTimeout(
+            MIN_FIRST_EVENT_TIMEOUT_S, MAX_FIRST_EVENT_TIMEOUT_S
+        )
     )
     lengths: LengthEstimate = field(default_factory=LengthEstimate)
-    pace: PaceEstimate = field(default_factory=PaceEstimate)
+    slot_throughput: SlotThroughputEstimate = field(default_factory=SlotThroughputEstimate)
     num_given_up: Counter[GiveUpReason] = field(default_factory=Counter)
--- a/src/hollowrack/jobs/job_intake.py
+++ b/src/hollowrack/jobs/job_intake.py
@@ -9,18 +9,18 @@
 from hollowrack.clock import now_s
 from hollowrack.jobs.job_log import MAX_JOB_ID_LENGTH, CreateOutcome, JobLog, StoredJob
 from hollowrack.jobs.live_state import LiveState
-from hollowrack.jobs.peers import PeerJobs
+from hollowrack.jobs.peer_jobs import PeerJobs
 from hollowrack.jobs.types import ItemResult, Job
 from hollowrack.results import Problem, ResultCode
 from hollowrack.tasks import cancel_all
 
-CREATE_PAUSE_S = 0.25
+CREATE_RETRY_INTERVAL_S = 0.25
 # After this time of rejected writes the caller receives a Retry-After.
-CREATE_PATIENCE_S = 0.6
+CREATE_TIMEOUT_S = 0.6
 CREATE_RETRY_AFTER_S = 2.5
 STOPPING_RETRY_AFTER_S = 0.5
 # A write without an answer may have succeeded, so its outcome must be resolved first.
-RESOLVE_PATIENCE_S = 8.0
+RESOLVE_TIMEOUT_S = 8.0
 MAX_PEERS_ASKED = 3
 # Without an answer of the preferred owner within this time another node stores the job.
 HANDOFF_TIMEOUT_S = 1.0
@@ -37,7 +37,7 @@
     def owns(self, job_id: str) -> bool:
         """Whether this node runs a job."""
 
-    def own(self, job: Job, results: list[ItemResult]) -> None:
+    def run_job(self, job: Job, results: list[ItemResult]) -> None:
         """Run a job on this node, given the results listed so far."""
 
 
@@ -53,8 +53,8 @@
         is_host: Returns whether this node holds a session.
 
     Attributes:
-        hands_on: Whether jobs are submitted to their preferred owner first; otherwise the node that
-            receives a job owns it.
+        uses_preferred_owner: Whether jobs are submitted to their preferred owner first;
+            otherwise the node that receives a job owns it.
         is_stopping: Whether this node accepts no more jobs.
     """
 
@@ -68,7 +68,7 @@
         is_host: Callable[[], bool],
     ) -> None:
         self._is_host = is_host
-        self.hands_on = True
+        self.uses_preferred_owner = True
         self.is_stopping = False
         self._log = log
         self._peers = peers
@@ -106,7 +106,7 @@
 
     def _preferred_addresses(self, job: Job) -> list[str]:
         """Addresses of the nodes to which a job is submitted before this one stores it."""
-        if not self.hands_on or self._owner.owns(job.id):
+        if not self.uses_preferred_owner or self._owner.owns(job.id):
             return []
         preferred = self._live.preferred_owner_address(job)
         if preferred is None:
@@ -148,7 +148,7 @@
         while True:
             outcome = await self._log.create(job)
             if outcome is CreateOutcome.CREATED:
-                self._owner.own(job, [])
+                self._owner.run_job(job, [])
                 return outcome
             if outcome is CreateOutcome.EXISTS:
                 await self._run_if_owned(job)
@@ -156,10 +156,10 @@
             if outcome is CreateOutcome.TOO_LARGE:
                 return outcome
             may_be_stored = may_be_stored or outcome is CreateOutcome.UNKNOWN
-            timeout_s = RESOLVE_PATIENCE_S if may_be_stored else CREATE_PATIENCE_S
+            timeout_s = RESOLVE_TIMEOUT_S if may_be_stored else CREATE_TIMEOUT_S
             if now_s() - started_s > timeout_s:
                 return CreateOutcome.UNKNOWN if may_be_stored else CreateOutcome.NOT_DONE
-            await asyncio.sleep(CREATE_PAUSE_S)
+            await asyncio.sleep(CREATE_RETRY_INTERVAL_S)
 
     async def _run_if_owned(self, job: Job) -> None:
         """Run a job that an earlier attempt of this process stored though its answer was lost."""
@@ -167,7 +167,7 @@
         if owner == self._log.owner and not self._owner.owns(job.id):
             stored = await self._log.load(job.id)
             owned = stored if isinstance(stored, StoredJob) else StoredJob(job)
-            self._owner.own(owned.job, owned.results)
+            self._owner.run_job(owned.job, owned.results)
 
 
 def _problem_of_outcome(outcome: CreateOutcome, job_id: str) -> Problem | None:
--- a/src/hollowrack/jobs/job_order.py
+++ b/src/hollowrack/jobs/job_order.py
@@ -4,15 +4,15 @@
 
 from hollowrack.clock import now_s
 from hollowrack.forwarding.types import Worker
-from hollowrack.jobs.item_order import ItemPlace, Outlook, order_items
+from hollowrack.jobs.item_order import CapacityForecast, ItemRank, order_items
 from hollowrack.jobs.item_runner import ItemRunner
 from hollowrack.jobs.item_services import ItemServices
-from hollowrack.jobs.job_standing import JobStanding
+from hollowrack.jobs.job_schedule import JobSchedule
 from hollowrack.jobs.types import Job
 
 # Remaining lengths in an old order are too high, which makes groups look late. Queued items are
 # ranked anew only when the order is invalidated.
-MAX_ORDER_AGE_S = 0.25
+ORDER_TTL_S = 0.25
 
 
 class JobOrder:
@@ -29,29 +29,29 @@
         self,
         job: Job,
         services: ItemServices,
-        standing: JobStanding,
+        standing: JobSchedule,
         open_runners: Callable[[], Mapping[str, ItemRunner]],
     ) -> None:
         self._job = job
         self._services = services
         self._standing = standing
         self._open_runners = open_runners
-        self._ranks: Mapping[str, ItemPlace] = {}
+        self._ranks: Mapping[str, ItemRank] = {}
         self._computed_s = -float("inf")
 
-    def decide_anew(self) -> None:
+    def invalidate(self) -> None:
         """Drop the cached order, so that it is computed again before the next slot is assigned."""
         self._computed_s = -float("inf")
-        self._services.queue.note_reordered()
+        self._services.queue.invalidate_ranks()
 
-    def place_of(self, item_id: str) -> ItemPlace:
+    def rank_of(self, item_id: str) -> ItemRank:
         """Return the rank of an item in the order of the job."""
-        if now_s() - self._computed_s > MAX_ORDER_AGE_S:
+        if now_s() - self._computed_s > ORDER_TTL_S:
             self._computed_s = now_s()
             self._ranks = self._compute()
-        return self._ranks.get(item_id, ItemPlace())
+        return self._ranks.get(item_id, ItemRank())
 
-    def _compute(self) -> Mapping[str, ItemPlace]:
+    def _compute(self) -> Mapping[str, ItemRank]:
         """Compute the ranks of the unfinished items.
 
         Without other models at its services a job has all slots, and all its items rank alike; the
@@ -70,22 +70,24 @@
             routes.holds_several_models(target.service) for target in route.targets
         )
 
-    def _forecast(self, runners: Iterable[ItemRunner]) -> Outlook:
+    def _forecast(self, runners: Iterable[ItemRunner]) -> CapacityForecast:
         """Forecast for the slots that the job holds or could get now."""
         runners = list(runners)
         route = self._services.routes.lookup(self._job.host, self._job.target)
-        time_left_s = self._standing.due_s(route) - now_s()
-        num_held = sum(runner.is_at_worker for runner in runners)
+        time_left_s = self._standing.deadline_s(route) - now_s()
+        num_held = sum(runner.holds_slot for runner in runners)
         # The slot of the item that has just finished goes to the next one.
         num_slots = max(1, num_held + self._num_free_slots(runners))
-        return Outlook(time_left_s, num_slots, self._services.pace.tokens_per_s)
+        return CapacityForecast(time_left_s, num_slots, self._services.slot_throughput.tokens_per_s)
 
     def _num_free_slots(self, runners: Iterable[ItemRunner]) -> int:
         """Number of free slots that the job could get now, in addition to those that it holds."""
-        services = {runner.generates_at for runner in runners if runner.generates_at is not None}
+        services = {
+            runner.active_service for runner in runners if runner.active_service is not None
+        }
 
         def has_weights(worker: Worker) -> bool:
             return worker.holds(self._job.model, self._job.min_version)
 
         queue = self._services.queue
-        return sum(queue.num_free_places(service, has_weights) for service in services)
+        return sum(queue.num_free_slots(service, has_weights) for service in services)
--- a/src/hollowrack/jobs/job_runner.py
+++ b/src/hollowrack/jobs/job_runner.py
@@ -11,19 +11,19 @@
 
 from hollowrack.clock import now_s
 from hollowrack.coordination.store import NotDone, Unknown
-from hollowrack.forwarding.dispatch_statistics import WaitPlace
+from hollowrack.forwarding.dispatch_statistics import WaitKind
 from hollowrack.jobs.item_runner import ItemRunner
 from hollowrack.jobs.item_services import ItemServices
 from hollowrack.jobs.job_log import AppendOutcome, JobLog
 from hollowrack.jobs.job_order import JobOrder
-from hollowrack.jobs.job_standing import JobStanding
+from hollowrack.jobs.job_schedule import JobSchedule
 from hollowrack.jobs.open_work import open_work_of
 from hollowrack.jobs.progress import (
     ItemProgress,
     JobRemainder,
-    KeptEvents,
     ProgressLog,
-    kept_event,
+    SavedEvents,
+    to_saved_event,
 )
 from hollowrack.jobs.progress_saver import ProgressSaver
 from hollowrack.jobs.types import ItemResult, Job
@@ -32,15 +32,15 @@
 
 # Results that finish close together share a write. Trainers use complete groups only, so results
 # that complete none may wait longer.
-GATHER_S = 0.2
-PARTIAL_GATHER_S = 0.8
+BATCH_DELAY_S = 0.2
+PARTIAL_GROUP_BATCH_DELAY_S = 0.8
 # Progress is saved in the writes that list results, but not more often than this.
-MIN_SAVE_AGE_S = 0.5
-RETRY_PAUSE_S = 0.25
+MIN_SAVE_INTERVAL_S = 0.5
+RETRY_INTERVAL_S = 0.25
 MAX_BATCH_BYTES = 500_000
 # Writes of a former owner may be applied up to this long after the takeover.
-LATE_WRITES_S = 8.0
-LATE_WRITES_LOOK_S = 0.6
+LATE_WRITE_WINDOW_S = 8.0
+LATE_WRITE_POLL_INTERVAL_S = 0.6
 
 
 class JobRunner:
@@ -60,7 +60,7 @@
 
     Attributes:
         results: Results listed so far, in order.
-        changed: Set, and replaced by a new event, when results are listed or the runner stops.
+        results_changed: Set, and replaced by a new event, when results are listed or the runner stops.
         task: Completes when the job ends on this node.
     """
 
@@ -74,15 +74,15 @@
         sequence: int,
         on_done: Callable[["JobRunner"], None],
         is_taken_over: bool = False,
-        saved_events: KeptEvents | None = None,
+        saved_events: SavedEvents | None = None,
         unlisted: Sequence[ItemResult] = (),
     ) -> None:
         self.job = job
         self.results = results
-        self.changed = asyncio.Event()
+        self.results_changed = asyncio.Event()
         self._log = log
         self._services = services
-        self._standing = JobStanding(sequence, now_s())
+        self._standing = JobSchedule(sequence, now_s())
         self._on_done = on_done
         listed = {result.item_id for result in results}
         self._finished = [result for result in unlisted if result.item_id not in listed]
@@ -104,7 +104,7 @@
         self.task = asyncio.create_task(self._run())
 
     @property
-    def is_listed_whole(self) -> bool:
+    def is_fully_listed(self) -> bool:
         """Whether every item has a listed result."""
         return len(self.results) >= len(self.job.items)
 
@@ -118,7 +118,7 @@
     async def _run(self) -> None:
         try:
             self._start_items()
-            while not self.is_listed_whole:
+            while not self.is_fully_listed:
                 await self._listing_due.wait()
                 await self._wait_for_batch()
                 async with self._listing_lock:
@@ -138,7 +138,7 @@
 
     async def _wait_for_batch(self) -> None:
         """Wait for more results to share the write, unless the trainer needs no more groups."""
-        end_s = now_s() + PARTIAL_GATHER_S
+        end_s = now_s() + PARTIAL_GROUP_BATCH_DELAY_S
         while not self._completes_a_group():
             if now_s() >= end_s or not self._finished:
                 return
@@ -148,7 +148,7 @@
                     await self._item_finished.wait()
         done = {result.item_id for result in [*self.results, *self._finished]}
         if not has_desired_groups(self.job, done):
-            await asyncio.sleep(GATHER_S)
+            await asyncio.sleep(BATCH_DELAY_S)
 
     def _completes_a_group(self) -> bool:
         """Return whether unlisted results complete a group."""
@@ -162,9 +162,9 @@
 
         Other nodes read such results from the store, and this node must not serve fewer.
         """
-        end_s = now_s() + LATE_WRITES_S
+        end_s = now_s() + LATE_WRITE_WINDOW_S
         while now_s() < end_s:
-            await asyncio.sleep(LATE_WRITES_LOOK_S)
+            await asyncio.sleep(LATE_WRITE_POLL_INTERVAL_S)
             listed = await self._log.read_results(self.job.id)
             if isinstance(listed, list) and len(listed) > len(self.results):
                 async with self._listing_lock:
@@ -179,23 +179,27 @@
     def has_waiting(self, service: str) -> bool:
         """Return whether any item waits for a slot at a service."""
         runners = self._item_runners.values()
-        return any(runner.is_waiting and runner.generates_at == service for runner in runners)
+        return any(
+            runner.is_waiting_for_slot and runner.active_service == service for runner in runners
+        )
 
-    def open_work(self, service: str, lives: Mapping[str, int]) -> OpenWork | None:
+    def open_work(self, service: str, incarnation_positions: Mapping[str, int]) -> OpenWork | None:
         """Return the open work at a service; ``None`` if there is none.
 
         Args:
             service: Name of the service.
-            lives: Position of each worker incarnation in the report, by its text form.
+            incarnation_positions: Position of each worker incarnation in the report, by its text form.
         """
         runners = list(self._item_runners.values())
         workers = self._services.workers
-        return open_work_of(self.job, self._standing, runners, service, lives, workers)
+        return open_work_of(
+            self.job, self._standing, runners, service, incarnation_positions, workers
+        )
 
     def remainder(self) -> JobRemainder:
         """Return the events and results that may be missing from the store."""
         items = [
-            ItemProgress(item_id, 0, 0, tuple(kept_event(event) for event in runner.events))
+            ItemProgress(item_id, 0, 0, tuple(to_saved_event(event) for event in runner.events))
             for item_id, runner in self._item_runners.items()
             if runner.events and not runner.is_generated
         ]
@@ -220,8 +224,8 @@
                 self.job,
                 item,
                 self._standing,
-                self._order.place_of,
-                self._order.decide_anew,
+                self._order.rank_of,
+                self._order.invalidate,
                 saved_events,
             )
             self._item_runners[item.id] = runner
@@ -243,25 +247,25 @@
         self._item_end_s[result.item_id] = now_s()
         self._listing_due.set()
         self._item_finished.set()
-        self._order.decide_anew()
+        self._order.invalidate()
 
     async def _list_finished(self) -> bool:
         """List finished results; ``False`` if another process owns the job now."""
         batch = _first_batch(self._finished)
         position = len(self.results)
         is_last = position + len(batch) == len(self.job.items)
-        unsaved_progress = None if is_last else self._saver.unsaved(MIN_SAVE_AGE_S)
+        unsaved_progress = None if is_last else self._saver.unsaved(MIN_SAVE_INTERVAL_S)
         extra_puts = [] if unsaved_progress is None else [unsaved_progress.record]
         outcome = await self._log.append(self.job.id, position, batch, is_last, extra_puts)
         if outcome is AppendOutcome.APPENDED:
             if unsaved_progress is not None:
-                self._saver.note_saved(unsaved_progress)
+                self._saver.record_saved(unsaved_progress)
             self._finished = self._finished[len(batch) :]
             self._update_results([*self.results, *batch])
             return True
-        if outcome is AppendOutcome.OVERTAKEN:
+        if outcome is AppendOutcome.CONFLICT:
             return await self._catch_up()
-        await asyncio.sleep(RETRY_PAUSE_S)
+        await asyncio.sleep(RETRY_INTERVAL_S)
         return True
 
     def _record_listing_latency(self, results: Sequence[ItemResult]) -> None:
@@ -270,7 +274,7 @@
             ended_s = self._item_end_s.pop(result.item_id, None)
             if ended_s is not None:
                 statistics = self._services.queue.statistics
-                statistics.note_wait(WaitPlace.LISTING, now_s() - ended_s)
+                statistics.record_wait(WaitKind.LISTING, now_s() - ended_s)
 
     async def _catch_up(self) -> bool:
         """Load results listed by another writer, or by an own write whose answer was lost.
@@ -281,7 +285,7 @@
         listed = await self._log.read_results(self.job.id)
         owner = await self._log.owner_of(self.job.id)
         if isinstance(listed, NotDone | Unknown) or isinstance(owner, NotDone | Unknown):
-            await asyncio.sleep(RETRY_PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
             return True
         listed_ids = {result.item_id for result in listed}
         self._finished = [result for result in self._finished if result.item_id not in listed_ids]
@@ -301,8 +305,8 @@
         self._notify_changed()
 
     def _notify_changed(self) -> None:
-        self.changed.set()
-        self.changed = asyncio.Event()
+        self.results_changed.set()
+        self.results_changed = asyncio.Event()
 
 
 def has_desired_groups(job: Job, done: Collection[str]) -> bool:
--- a/src/hollowrack/jobs/job_standing.py
+++ b/src/hollowrack/jobs/job_schedule.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True)
-class JobStanding:
+class JobSchedule:
     """Sequence number and start of a job on this node, from which its deadline follows.
 
     Attributes:
@@ -21,7 +21,7 @@
     sequence: int
     owned_s: float
 
-    def due_s(self, route: Route | None) -> float:
+    def deadline_s(self, route: Route | None) -> float:
         """Return the time by which generation must end for results to be listed in time.
 
         Args:
--- a/src/hollowrack/jobs/lengths.py
+++ b/src/hollowrack/jobs/lengths.py
@@ -1,9 +1,9 @@
 """Estimate of the number of events of an item, from expected tokens and finished items."""
 
 # Half-life of a sample's weight.
-NUM_ITEMS_REMEMBERED = 100
+HALF_LIFE_ITEMS = 100
 # An item beyond its estimate is expected to generate this fraction of its events again.
-OVERRUN_SHARE = 0.25
+OVERRUN_FRACTION = 0.25
 
 
 class LengthEstimate:
@@ -14,14 +14,14 @@
         self._num_events = 0.0
         self._num_items = 0.0
 
-    def note(self, expected_tokens: int, num_events: int) -> None:
+    def record_item(self, expected_tokens: int, num_events: int) -> None:
         """Add a finished item.
 
         Args:
             expected_tokens: Length stated by its caller; 0 if none was.
             num_events: Events that it generated.
         """
-        decay = 0.5 ** (1 / NUM_ITEMS_REMEMBERED)
+        decay = 0.5 ** (1 / HALF_LIFE_ITEMS)
         self._num_items = self._num_items * decay + 1
         self._num_events = self._num_events * decay + num_events
         self._num_tokens = self._num_tokens * decay + expected_tokens
@@ -33,7 +33,7 @@
             expected_tokens: Length stated by its caller; 0 if none was.
             num_events: Events generated so far.
         """
-        return max(self._num_expected(expected_tokens) - num_events, OVERRUN_SHARE * num_events)
+        return max(self._num_expected(expected_tokens) - num_events, OVERRUN_FRACTION * num_events)
 
     def num_tokens_left(self, expected_tokens: int, num_events: int) -> int:
         """Estimate how many tokens are left of an item, counted as in its expected length."""
@@ -42,7 +42,7 @@
         tokens_per_event = self._num_tokens / self._num_events
         return round(tokens_per_event * self.num_events_left(expected_tokens, num_events))
 
-    def next_estimate_at(self, expected_tokens: int, num_events: int) -> float:
+    def overrun_threshold(self, expected_tokens: int, num_events: int) -> float:
         """Return the number of events beyond which an item exceeds its present estimate.
 
         Args:
--- a/src/hollowrack/jobs/peers.py
+++ b/src/hollowrack/jobs/peer_jobs.py
@@ -24,7 +24,7 @@
 REMAINDER_PATH = "/jobs/remainder"
 # A former owner may be down or partitioned; its state is not worth a longer wait.
 REMAINDER_TIMEOUT_S = 0.6
-READ_GRACE_S = 0.4
+READ_TIMEOUT_MARGIN_S = 0.4
 MAX_READ_WAIT_S = 5.0
 
 
@@ -44,7 +44,7 @@
 
 @message("job.read")
 @dataclass(frozen=True)
-class ReadJob:
+class ReadJobRequest:
     """Asks a job's owner for results from a position on.
 
     Attributes:
@@ -81,7 +81,7 @@
 
 @message("job.leave")
 @dataclass(frozen=True)
-class LeftJob:
+class RemainderRequest:
     """Asks the former owner of a job for its state that may be missing from the store.
 
     Attributes:
@@ -97,7 +97,7 @@
     async def remainder(self, address: str, job_id: str) -> JobRemainder:
         """Request a job's remainder from its former owner; empty without a timely answer."""
 
-    async def read(self, address: str, request: ReadJob) -> JobPage | None:
+    async def read(self, address: str, request: ReadJobRequest) -> JobPage | None:
         """Read a job at its owner; ``None`` if the node does not own it or does not answer."""
 
     async def submit(self, address: str, job: Job, timeout_s: float) -> Problem | None:
@@ -136,7 +136,7 @@
 
     async def remainder(self, address: str, job_id: str) -> JobRemainder:
         """Request a job's remainder from its former owner."""
-        request = LeftJob(job_id)
+        request = RemainderRequest(job_id)
         try:
             answer = await ask_node(
                 self._session, address, REMAINDER_PATH, request, REMAINDER_TIMEOUT_S
@@ -146,9 +146,9 @@
             return JobRemainder()
         return answer if isinstance(answer, JobRemainder) else JobRemainder()
 
-    async def read(self, address: str, request: ReadJob) -> JobPage | None:
+    async def read(self, address: str, request: ReadJobRequest) -> JobPage | None:
         """Read a job at its owner."""
-        timeout_s = request.wait_s + READ_GRACE_S
+        timeout_s = request.wait_s + READ_TIMEOUT_MARGIN_S
         try:
             page = await ask_node(self._session, address, READ_PATH, request, timeout_s)
         except (NodeUnreachableError, NodeSilentError) as error:
@@ -169,7 +169,7 @@
 
 def peer_routes(
     submit: Callable[[Job], Awaitable[Problem | None]],
-    read: Callable[[ReadJob], Awaitable[JobPage]],
+    read: Callable[[ReadJobRequest], Awaitable[JobPage]],
     remainder: Callable[[str], JobRemainder],
 ) -> list[Route]:
     """Return the HTTP routes that answer other nodes' requests about jobs.
@@ -186,15 +186,15 @@
             return SubmitAnswer(int(ResultCode.OK))
         return SubmitAnswer(int(problem.code), problem.detail)
 
-    async def read_page(request: ReadJob) -> JobPage:
+    async def read_page(request: ReadJobRequest) -> JobPage:
         wait_s = min(MAX_READ_WAIT_S, max(0.0, request.wait_s))
         return await read(replace(request, wait_s=wait_s))
 
-    async def read_remainder(request: LeftJob) -> JobRemainder:
+    async def read_remainder(request: RemainderRequest) -> JobRemainder:
         return remainder(request.job_id)
 
     return [
-        question_route(REMAINDER_PATH, (LeftJob,), read_remainder),
+        question_route(REMAINDER_PATH, (RemainderRequest,), read_remainder),
         question_route(SUBMIT_PATH, (Job,), submit_job),
-        question_route(READ_PATH, (ReadJob,), read_page),
+        question_route(READ_PATH, (ReadJobRequest,), read_page),
     ]
--- a/src/hollowrack/jobs/placement.py
+++ b/src/hollowrack/jobs/placement.py
@@ -14,9 +14,9 @@
 from hollowrack.messages.codec import message
 
 # Nodes with at least this fraction of the most cores count as equally large.
-LARGE_SHARE = 0.9
+LARGE_NODE_FRACTION = 0.9
 # The caller's zone is preferred if its largest node has this fraction of the most cores of all.
-NEAR_SHARE = 0.5
+LOCAL_NODE_FRACTION = 0.5
 
 
 @message("jobs.node")
@@ -55,10 +55,12 @@
     max_cores = max(entry.num_cores for entry in reachable.values())
     local = {owner: entry for owner, entry in reachable.items() if entry.zone == zone}
     max_local_cores = max((entry.num_cores for entry in local.values()), default=0.0)
-    if zone and max_local_cores > 0.0 and max_local_cores >= NEAR_SHARE * max_cores:
+    if zone and max_local_cores > 0.0 and max_local_cores >= LOCAL_NODE_FRACTION * max_cores:
         reachable, max_cores = local, max_local_cores
     candidates = [
-        owner for owner, entry in reachable.items() if entry.num_cores >= LARGE_SHARE * max_cores
+        owner
+        for owner, entry in reachable.items()
+        if entry.num_cores >= LARGE_NODE_FRACTION * max_cores
     ]
     return _first_by_hash(job.model or f"{job.host}{job.target}", candidates)
 
--- a/src/hollowrack/jobs/progress_saver.py
+++ b/src/hollowrack/jobs/progress_saver.py
@@ -10,14 +10,14 @@
 from hollowrack.jobs.progress import (
     MAX_RECORD_BYTES,
     ItemProgress,
-    KeptEvent,
     ProgressLog,
-    kept_event,
+    SavedEvent,
+    to_saved_event,
 )
 
 SAVE_INTERVAL_S = 1.5
 MIN_SLEEP_S = 0.05
-FAILURE_PAUSE_S = 4.0
+FAILURE_RETRY_INTERVAL_S = 4.0
 # Generating shorter texts again takes no longer than loading them.
 MIN_EVENTS_SAVED = 16
 
@@ -62,7 +62,7 @@
             if now_s() - self._last_save_s < SAVE_INTERVAL_S:
                 continue
             if not await self.save():
-                await asyncio.sleep(FAILURE_PAUSE_S)
+                await asyncio.sleep(FAILURE_RETRY_INTERVAL_S)
 
     async def save(self) -> bool:
         """Save the new events of all long items; ``False`` if a write failed."""
@@ -70,7 +70,7 @@
         while (unsaved := self.unsaved()) is not None:
             if not await self._log.save(unsaved.record):
                 return False
-            self.note_saved(unsaved)
+            self.record_saved(unsaved)
         return True
 
     def unsaved(self, min_age_s: float = 0.0) -> UnsavedProgress | None:
@@ -85,11 +85,11 @@
         if not items:
             return None
         # Every record has a key of its own, so that a late write cannot replace a newer record.
-        record = self._log.record(self._job_id, self._num_records, items)
+        record = self._log.make_put(self._job_id, self._num_records, items)
         self._num_records += 1
         return UnsavedProgress(record, tuple(items))
 
-    def note_saved(self, progress: UnsavedProgress) -> None:
+    def record_saved(self, progress: UnsavedProgress) -> None:
         """Record that a write has succeeded."""
         self._last_save_s = now_s()
         for part in progress.items:
@@ -104,7 +104,7 @@
             if runner.is_generated or len(runner.events) < MIN_EVENTS_SAVED:
                 continue
             position = self._num_saved.get((runner.item_id, runner.num_restarts), 0)
-            events = tuple(kept_event(event) for event in runner.events[position:])
+            events = tuple(to_saved_event(event) for event in runner.events[position:])
             num_bytes += _size(events)
             if parts and num_bytes > MAX_RECORD_BYTES:
                 break
@@ -113,5 +113,5 @@
         return parts
 
 
-def _size(events: Collection[KeptEvent]) -> int:
+def _size(events: Collection[SavedEvent]) -> int:
     return sum(len(event.data.encode()) for event in events)
--- a/src/hollowrack/jobs/pace.py
+++ b/src/hollowrack/jobs/slot_throughput.py
@@ -1,10 +1,10 @@
 """Estimate of the throughput of one slot, updated with each finished item."""
 
 # Half-life of a sample's weight, so that the estimate follows workers that become slow.
-NUM_ITEMS_REMEMBERED = 30
+HALF_LIFE_ITEMS = 30
 
 
-class PaceEstimate:
+class SlotThroughputEstimate:
     """Tokens per second of one slot, an average with exponential decay.
 
     Tokens are counted as in the callers' expected lengths.
@@ -14,14 +14,14 @@
         self._num_tokens = 0.0
         self._duration_s = 0.0
 
-    def note(self, num_tokens: float, duration_s: float) -> None:
+    def record_item(self, num_tokens: float, duration_s: float) -> None:
         """Add a finished item.
 
         Args:
             num_tokens: Expected tokens of the part of its text that was generated here.
             duration_s: Time for which it held slots, in seconds.
         """
-        decay = 0.5 ** (1 / NUM_ITEMS_REMEMBERED)
+        decay = 0.5 ** (1 / HALF_LIFE_ITEMS)
         self._num_tokens = self._num_tokens * decay + num_tokens
         self._duration_s = self._duration_s * decay + duration_s
 
--- a/src/hollowrack/jobs/takeover.py
+++ b/src/hollowrack/jobs/takeover.py
@@ -14,16 +14,16 @@
 from hollowrack.jobs.job_log import JobLog, OpenJob, StoredJob
 from hollowrack.jobs.job_service import JobService
 from hollowrack.jobs.live_state import LiveState
-from hollowrack.jobs.peers import PeerJobs
+from hollowrack.jobs.peer_jobs import PeerJobs
 from hollowrack.jobs.progress import JobRemainder, ProgressLog, longest_runs
 from hollowrack.tasks import cancel_all
 
 # An owner counts as gone when its session has been absent for this long.
-GRACE_S = 0.4
-LOOK_S = 0.25
+SESSION_LOSS_GRACE_S = 0.4
+TAKEOVER_POLL_INTERVAL_S = 0.25
 # Added to the grace period before a failed takeover is retried.
-ASSIGNED_RETRY_S = 1.5
-IDLE_SCAN_S = 6.0
+CLAIM_RETRY_INTERVAL_S = 1.5
+SCAN_INTERVAL_S = 6.0
 
 
 class JobTakeover:
@@ -76,15 +76,15 @@
         await self._take_over_from_earlier_processes()
         was_leader = False
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(TAKEOVER_POLL_INTERVAL_S)
             is_leader = self._leadership.is_leader
             if is_leader and not was_leader:
-                self._next_scan_s = now_s() + GRACE_S
+                self._next_scan_s = now_s() + SESSION_LOSS_GRACE_S
             was_leader = is_leader
             self._update_owners()
             await self._take_over_assigned()
             if is_leader and now_s() >= self._next_scan_s:
-                self._next_scan_s = now_s() + IDLE_SCAN_S
+                self._next_scan_s = now_s() + SCAN_INTERVAL_S
                 await self._scan()
 
     async def _take_over_from_earlier_processes(self) -> None:
@@ -111,14 +111,14 @@
             job_id: self._assigned_since_s.get(job_id, now_s()) for job_id in not_running
         }
         for job_id, since_s in list(self._assigned_since_s.items()):
-            if now_s() - since_s >= GRACE_S:
-                self._assigned_since_s[job_id] = now_s() + ASSIGNED_RETRY_S
+            if now_s() - since_s >= SESSION_LOSS_GRACE_S:
+                self._assigned_since_s[job_id] = now_s() + CLAIM_RETRY_INTERVAL_S
                 await self._take_over(not_running[job_id])
 
     def _update_owners(self) -> None:
         live = set(self._live.nodes)
         if self._live_owners - live:
-            self._next_scan_s = min(self._next_scan_s, now_s() + GRACE_S)
+            self._next_scan_s = min(self._next_scan_s, now_s() + SESSION_LOSS_GRACE_S)
         self._live_owners = live
 
     async def _scan(self) -> None:
@@ -133,17 +133,17 @@
             await self._claim_and_load(job)
         except Exception:
             logging.exception("job %s: not taken over now", job.job_id)
-            self._next_scan_s = min(self._next_scan_s, now_s() + ASSIGNED_RETRY_S)
+            self._next_scan_s = min(self._next_scan_s, now_s() + CLAIM_RETRY_INTERVAL_S)
 
     async def _claim_and_load(self, job: OpenJob) -> None:
         # The cluster state may lag behind the store: only the claim proves that the job is open.
         if await self._log.claim(job):
             await self._load(job)
         else:
-            self._next_scan_s = min(self._next_scan_s, now_s() + GRACE_S)
+            self._next_scan_s = min(self._next_scan_s, now_s() + SESSION_LOSS_GRACE_S)
 
     async def _fetch_remainder(self, job: OpenJob) -> JobRemainder:
-        address = self._live.former_address(job.owner)
+        address = self._live.last_known_address(job.owner)
         return (
             JobRemainder() if address is None else await self._peers.remainder(address, job.job_id)
         )
@@ -159,6 +159,6 @@
         if isinstance(stored, StoredJob):
             logging.info("job %s: taken over from %s", job.job_id, job.owner)
             saved_events = longest_runs([*records, remainder.items])
-            self._jobs.own(stored.job, stored.results, True, saved_events, remainder.results)
+            self._jobs.run_job(stored.job, stored.results, True, saved_events, remainder.results)
         else:
-            self._next_scan_s = min(self._next_scan_s, now_s() + GRACE_S)
+            self._next_scan_s = min(self._next_scan_s, now_s() + SESSION_LOSS_GRACE_S)
