--- a/src/hollowrack/jobs/item_runner.py
+++ b/src/hollowrack/jobs/item_runner.py
@@ -63,8 +63,8 @@
         services: Components shared by all item runners of the node.
         job: Job of the item.
         item: The item.
-        standing: Sequence number and deadline of the job on this node.
-        place_of: Returns the current rank of an item, by its identifier, in the order of its job.
+        schedule: Sequence number and deadline of the job on this node.
+        rank_of: Returns the current rank of an item, by its identifier, in the order of its job.
         on_overrun: Called whenever the item exceeds the estimate of its length.
         saved_events: Events that an earlier owner of the job generated, from the first one on.
 
@@ -82,8 +82,8 @@
         services: ItemServices,
         job: Job,
         item: JobItem,
-        standing: JobSchedule,
-        place_of: Callable[[str], ItemRank],
+        schedule: JobSchedule,
+        rank_of: Callable[[str], ItemRank],
         on_overrun: Callable[[], None],
         saved_events: Sequence[VersionedEvent] = (),
     ) -> None:
@@ -96,12 +96,12 @@
         self._services = services
         self._job = job
         self._item = item
-        self._standing = standing
-        self._place_of = place_of
+        self._schedule = schedule
+        self._rank_of = rank_of
         self._on_overrun = on_overrun
         self._priority = 0
         self._waits: RunWaits | None = None
-        self._due_s = NEVER_DUE_S
+        self._deadline_s = NEVER_DUE_S
 
     @property
     def item_id(self) -> str:
@@ -131,7 +131,7 @@
         job_route = self.route = await self._route_of(self._job.target)
         if job_route is not None:
             self._priority = job_route.priority
-            self._due_s = self._standing.deadline_s(job_route)
+            self._deadline_s = self._schedule.deadline_s(job_route)
         time_limit = asyncio.timeout_at(_give_up_deadline_s(job_route))
         try:
             async with time_limit:
@@ -220,19 +220,19 @@
 
     def _rank(self) -> DispatchRank:
         """Return the item's current rank in the queue."""
-        place = self._place_of(self.item_id)
+        rank = self._rank_of(self.item_id)
         # Items of concurrent groups are ordered by their latest start: a long item of a later job
         # precedes a short one of an earlier job that still has time.
-        latest_start_s = self._due_s
-        if not place.group_rank:
+        latest_start_s = self._deadline_s
+        if not rank.group_rank:
             latest_start_s -= self._expected_time_s()
         return DispatchRank(
             self._priority,
             WorkKind.JOB_ITEM,
-            place.usefulness(self._due_s - now_s()),
+            rank.usefulness(self._deadline_s - now_s()),
             latest_start_s,
-            self._standing.sequence,
-            place.group_rank,
+            self._schedule.sequence,
+            rank.group_rank,
             -self.num_tokens_left,
         )
 
@@ -332,11 +332,11 @@
         """Append all events of a run."""
         lengths = self._services.lengths
         expected_tokens = self._item.expected_tokens
-        overrun_at = lengths.overrun_threshold(expected_tokens, len(self.events))
+        overrun_threshold = lengths.overrun_threshold(expected_tokens, len(self.events))
         async for event in run.events():
             self.events.append(event)
-            if len(self.events) > overrun_at:
-                overrun_at = lengths.overrun_threshold(expected_tokens, len(self.events))
+            if len(self.events) > overrun_threshold:
+                overrun_threshold = lengths.overrun_threshold(expected_tokens, len(self.events))
                 self._on_overrun()
 
     def _migration_policy(self, service: str, route: Route) -> ItemMoves | None:
--- a/src/hollowrack/jobs/item_services.py
+++ b/src/hollowrack/jobs/item_services.py
@@ -42,7 +42,7 @@
         queue: Assigns slots at workers.
         read_version: Returns the weight version that an event states; ``None`` if it states none.
         quarantine: Withholds generations that crash workers.
-        first_event_timeout: Timeout of the first event of a generation, adapted to observed latencies.
+        first_event_timeout: Timeout of the first event, adapted to observed latencies.
         lengths: Estimates the number of events of items.
         slot_throughput: Estimates the throughput of one slot.
         num_given_up: Number of items given up on this node by reason.
--- a/src/hollowrack/jobs/job_order.py
+++ b/src/hollowrack/jobs/job_order.py
@@ -21,7 +21,7 @@
     Args:
         job: The job.
         services: Shared components of the item runners.
-        standing: Deadline of the job.
+        schedule: Deadline of the job.
         open_runners: Returns the runners of its unlisted items by item identifier.
     """
 
@@ -29,12 +29,12 @@
         self,
         job: Job,
         services: ItemServices,
-        standing: JobSchedule,
+        schedule: JobSchedule,
         open_runners: Callable[[], Mapping[str, ItemRunner]],
     ) -> None:
         self._job = job
         self._services = services
-        self._standing = standing
+        self._schedule = schedule
         self._open_runners = open_runners
         self._ranks: Mapping[str, ItemRank] = {}
         self._computed_s = -float("inf")
@@ -74,7 +74,7 @@
         """Forecast for the slots that the job holds or could get now."""
         runners = list(runners)
         route = self._services.routes.lookup(self._job.host, self._job.target)
-        time_left_s = self._standing.deadline_s(route) - now_s()
+        time_left_s = self._schedule.deadline_s(route) - now_s()
         num_held = sum(runner.holds_slot for runner in runners)
         # The slot of the item that has just finished goes to the next one.
         num_slots = max(1, num_held + self._num_free_slots(runners))
--- a/src/hollowrack/jobs/job_runner.py
+++ b/src/hollowrack/jobs/job_runner.py
@@ -60,7 +60,7 @@
 
     Attributes:
         results: Results listed so far, in order.
-        results_changed: Set, and replaced by a new event, when results are listed or the runner stops.
+        results_changed: Set, and replaced by a new event, when results are listed or the job stops.
         task: Completes when the job ends on this node.
     """
 
@@ -82,7 +82,7 @@
         self.results_changed = asyncio.Event()
         self._log = log
         self._services = services
-        self._standing = JobSchedule(sequence, now_s())
+        self._schedule = JobSchedule(sequence, now_s())
         self._on_done = on_done
         listed = {result.item_id for result in results}
         self._finished = [result for result in unlisted if result.item_id not in listed]
@@ -93,7 +93,7 @@
         self._saved_events = saved_events or {}
         self._item_tasks: dict[str, asyncio.Task[None]] = {}
         self._item_runners: dict[str, ItemRunner] = {}
-        self._order = JobOrder(job, services, self._standing, self._open_runners)
+        self._order = JobOrder(job, services, self._schedule, self._open_runners)
         self._item_end_s: dict[str, float] = {}
         self._saver = ProgressSaver(job.id, progress, self._item_runners.values)
         self._listing_lock = asyncio.Lock()
@@ -188,12 +188,12 @@
 
         Args:
             service: Name of the service.
-            incarnation_positions: Position of each worker incarnation in the report, by its text form.
+            incarnation_positions: Position in the report by text form of the incarnation.
         """
         runners = list(self._item_runners.values())
         workers = self._services.workers
         return open_work_of(
-            self.job, self._standing, runners, service, incarnation_positions, workers
+            self.job, self._schedule, runners, service, incarnation_positions, workers
         )
 
     def remainder(self) -> JobRemainder:
@@ -223,7 +223,7 @@
                 self._services,
                 self.job,
                 item,
-                self._standing,
+                self._schedule,
                 self._order.rank_of,
                 self._order.invalidate,
                 saved_events,
--- a/src/hollowrack/jobs/live_state.py
+++ b/src/hollowrack/jobs/live_state.py
@@ -123,8 +123,8 @@
         """Return the owner that a key names; an unreadable one is logged and matches no process."""
         if not is_owner(value) and self._log_limiter.allows():
             detail = "the owner name is empty or not valid UTF-8."
-            place = ascii(key)[:MAX_LOGGED_KEY_LENGTH]
-            logging.error("%s", Problem(ResultCode.ENTRY_UNREADABLE, detail, place))
+            location = ascii(key)[:MAX_LOGGED_KEY_LENGTH]
+            logging.error("%s", Problem(ResultCode.ENTRY_UNREADABLE, detail, location))
         return decode_owner(value)
 
     def _remove_open_job(self, job_id: str) -> None:
--- a/src/hollowrack/jobs/open_work.py
+++ b/src/hollowrack/jobs/open_work.py
@@ -17,7 +17,7 @@
 
 def open_work_of(
     job: Job,
-    standing: JobSchedule,
+    schedule: JobSchedule,
     runners: Iterable[ItemRunner],
     service: str,
     incarnation_positions: Mapping[str, int],
@@ -27,10 +27,10 @@
 
     Args:
         job: The job.
-        standing: Deadline of the job.
+        schedule: Deadline of the job.
         runners: Runners of its unfinished items.
         service: Name of the service.
-        incarnation_positions: Position of each worker incarnation in the report, by its text form.
+        incarnation_positions: Position in the report by text form of the incarnation.
         workers: Directory of known workers.
     """
     at_service = [runner for runner in runners if runner.active_service == service]
@@ -38,10 +38,10 @@
         return None
     num_waiting = sum(runner.is_waiting_for_slot for runner in at_service)
     route = at_service[0].route
-    due_s = standing.deadline_s(route)
+    deadline_s = schedule.deadline_s(route)
     return OpenWork(
         UNKNOWN_PRIORITY if route is None else route.priority,
-        None if due_s == NEVER_DUE_S else due_s - now_s(),
+        None if deadline_s == NEVER_DUE_S else deadline_s - now_s(),
         len(at_service) - num_waiting,
         num_waiting,
         _eligible_positions(job, workers.available_for_runs(service), incarnation_positions),
@@ -49,11 +49,11 @@
 
 
 def _eligible_positions(
-    job: Job, workers: Iterable[Worker], lives: Mapping[str, int]
+    job: Job, workers: Iterable[Worker], incarnation_positions: Mapping[str, int]
 ) -> tuple[int, ...]:
     """Return the positions of the worker incarnations at which a job may run."""
     positions = (
-        lives.get(str(worker.incarnation))
+        incarnation_positions.get(str(worker.incarnation))
         for worker in workers
         if worker.holds(job.model, job.min_version)
     )
--- a/tests/jobs/test_hosting.py
+++ b/tests/jobs/test_hosting.py
@@ -49,7 +49,7 @@
     hosts = _settle(entries, initial_hosts, rng)
     assert len(hosts) >= min(NUM_HOSTS_PER_ZONE, len(entries))
     assert max(entries[host].num_cores for host in hosts) >= LARGE_NODE_FRACTION * max(sizes)
-    # Sizes within LARGE_NODE_FRACTION of each other count as equal, which leaves three classes of sizes.
+    # Sizes within LARGE_NODE_FRACTION of each other count as equal: three classes of sizes.
     assert len(hosts) <= 3 * NUM_HOSTS_PER_ZONE
 
 
