--- a/src/hollowrack/jobs/open_work.py
+++ b/src/hollowrack/jobs/open_work.py
@@ -1,4 +1,4 @@
-"""The unfinished generations of one job, as the arbiter of slots hears of them."""
+"""Summary of a job's unfinished generations for the arbiter of slots."""
 
 from collections.abc import Iterable, Mapping
 
@@ -11,13 +11,13 @@
 from hollowrack.jobs.types import Job
 from hollowrack.slots.types import OpenWork
 
-# Where the route is not known yet its items have not begun either.
+# Used only before the route is known, when no item has started.
 UNKNOWN_PRIORITY = 0
 
 
 def open_work_of(
     job: Job,
-    standing: JobSchedule,
+    schedule: JobSchedule,
     runners: Iterable[ItemRunner],
     service: str,
     incarnation_positions: Mapping[str, int],
@@ -27,31 +27,33 @@
 
     Args:
         job: The job.
-        standing: When it is due.
-        runners: Its unfinished items.
-        service: The service.
-        incarnation_positions: Position of each life in the report by its text.
-        workers: The workers known.
+        schedule: Deadline of the job.
+        runners: Runners of its unfinished items.
+        service: Name of the service.
+        incarnation_positions: Position in the report by text form of the incarnation.
+        workers: Directory of known workers.
     """
-    here = [runner for runner in runners if runner.active_service == service]
-    if not here:
+    at_service = [runner for runner in runners if runner.active_service == service]
+    if not at_service:
         return None
-    num_waiting = sum(runner.is_waiting_for_slot for runner in here)
-    route = here[0].route
-    due_s = standing.deadline_s(route)
+    num_waiting = sum(runner.is_waiting_for_slot for runner in at_service)
+    route = at_service[0].route
+    deadline_s = schedule.deadline_s(route)
     return OpenWork(
         UNKNOWN_PRIORITY if route is None else route.priority,
-        None if due_s == NEVER_DUE_S else due_s - now_s(),
-        len(here) - num_waiting,
+        None if deadline_s == NEVER_DUE_S else deadline_s - now_s(),
+        len(at_service) - num_waiting,
         num_waiting,
-        _eligible(job, workers.available_for_runs(service), incarnation_positions),
+        _eligible_positions(job, workers.available_for_runs(service), incarnation_positions),
     )
 
 
-def _eligible(job: Job, workers: Iterable[Worker], lives: Mapping[str, int]) -> tuple[int, ...]:
-    """Positions of the lives at which a job may run."""
+def _eligible_positions(
+    job: Job, workers: Iterable[Worker], incarnation_positions: Mapping[str, int]
+) -> tuple[int, ...]:
+    """Return the positions of the worker incarnations at which a job may run."""
     positions = (
-        lives.get(str(worker.incarnation))
+        incarnation_positions.get(str(worker.incarnation))
         for worker in workers
         if worker.holds(job.model, job.min_version)
     )
