--- a/src/hollowrack/observability/__init__.py
+++ b/src/hollowrack/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Structured logs, metrics and the records that explain decisions."""
+"""Structured logging, metrics, log search and decision records."""
--- a/src/hollowrack/observability/decisions.py
+++ b/src/hollowrack/observability/decisions.py
@@ -1,4 +1,4 @@
-"""Records of decisions: what was decided, about what, and from which inputs."""
+"""Log of a node's decisions with their subjects, outcomes and inputs."""
 
 import time
 from collections import deque
@@ -12,7 +12,7 @@
 
 
 class DecisionKind(Enum):
-    """Kinds of decisions a node takes."""
+    """Kind of a decision."""
 
     ROUTE = "route"
     REFUSE = "refuse"
@@ -31,14 +31,15 @@
 
 @dataclass(frozen=True)
 class Decision:
-    """One decision.
+    """A recorded decision.
 
     Attributes:
-        kind: What kind of decision it was.
-        subject: Request, sample, engine, step or bundle it is about.
-        outcome: What was decided.
-        inputs: What it was decided from.
-        at_s: Wall-clock time, in seconds since 1970, for people.
+        kind: Kind of the decision.
+        subject: Identifier of the request, sample, engine, step or bundle; parts are separated
+            by ``/``.
+        outcome: Result of the decision.
+        inputs: Values on which the decision is based.
+        at_s: Wall-clock time, in seconds since the Unix epoch; informational only.
     """
 
     kind: DecisionKind
@@ -48,28 +49,28 @@
     at_s: float = field(default_factory=time.time)
 
     def as_json(self) -> dict[str, Any]:
-        """Return the record in JSON form."""
+        """Return the decision as a JSON-compatible dictionary."""
         return asdict(self) | {"kind": self.kind.value}
 
 
 class DecisionLog:
-    """A bounded ring of the latest decisions, mirrored to the structured log.
+    """Ring buffer of recent decisions, also written to the structured log.
 
     Args:
-        max_records: Most decisions kept.
+        max_records: Maximum number of decisions kept.
     """
 
     def __init__(self, max_records: int = DEFAULT_MAX_RECORDS) -> None:
         self._records: deque[Decision] = deque(maxlen=max_records)
 
     def record(self, kind: DecisionKind, subject: str, outcome: str, **inputs: Any) -> None:
-        """Keep a decision."""
+        """Record a decision and log it at debug level."""
         decision = Decision(kind, subject, outcome, inputs)
         self._records.append(decision)
         logging.debug("decision %s", decision.as_json())
 
     def find_by_subject(self, subject: str) -> list[Decision]:
-        """Return the decisions about a subject or anything below it, oldest first."""
+        """Return the decisions about a subject or its sub-subjects, oldest first."""
         return [
             record
             for record in self._records
@@ -77,5 +78,5 @@
         ]
 
     def latest(self, max_records: int) -> list[Decision]:
-        """Return the latest decisions, oldest first."""
+        """Return the most recent decisions, oldest first."""
         return list(self._records)[-max_records:]
--- a/src/hollowrack/observability/edge_metrics.py
+++ b/src/hollowrack/observability/edge_metrics.py
@@ -1,6 +1,6 @@
-"""Figures of an edge node, read from its parts only when somebody asks.
+"""Prometheus metrics of an edge node, collected on each scrape.
 
-The metrics library is loaded with the first question, so that nodes nobody asks do not pay for it.
+The metrics library is imported on the first scrape, to save start-up time and memory.
 """
 
 from collections import Counter
@@ -26,14 +26,14 @@
 
 @dataclass
 class EdgeCounters:
-    """What is counted as it happens.
+    """Counters incremented as events happen.
 
     Attributes:
-        answers: Answers of this node's own by the name of their result code; workers' answers
-            count as ``OK``.
+        answers: Responses to clients by name of the result code; responses from workers count
+            as ``OK``.
         store_calls: Calls to the platform's store by kind.
-        unreadable_entries: Changes of the store that could not be read, by prefix of their keys.
-        suspended_s: How long the machine was suspended while the process ran, in seconds.
+        unreadable_entries: Store changes that could not be decoded, by key prefix.
+        suspended_s: Total time the machine was suspended while the process ran, in seconds.
     """
 
     answers: Counter[str] = field(default_factory=Counter)
@@ -42,16 +42,16 @@
     suspended_s: float = 0.0
 
     def add_suspended(self, seconds: float) -> None:
-        """The machine was suspended."""
+        """Add a period in which the machine was suspended, in seconds."""
         self.suspended_s += seconds
 
 
 class EdgeCollector:
-    """Reads a node's figures; a collector of the metrics library.
+    """Prometheus collector that reads the state of an edge node.
 
     Args:
-        node: The node.
-        counts: What was counted.
+        node: Node whose state is read.
+        counts: Counters of the process.
     """
 
     def __init__(self, node: EdgeNode, counts: EdgeCounters) -> None:
@@ -59,8 +59,8 @@
         self._counts = counts
 
     def collect(self) -> Iterator["Metric"]:
-        """Return all figures as they are now."""
-        from prometheus_client.core import (  # noqa: PLC0415 (loaded when asked)
+        """Yield the current values of all metrics."""
+        from prometheus_client.core import (  # noqa: PLC0415 (lazy import)
             CounterMetricFamily,
             GaugeMetricFamily,
         )
@@ -71,32 +71,32 @@
         for code, count in self._counts.answers.items():
             answers.add_metric([code], count)
         yield answers
-        calls = CounterMetricFamily(
+        store_calls = CounterMetricFamily(
             "hollowrack_store_calls", "Calls to the store by kind", labels=["kind"]
         )
         for kind, count in self._counts.store_calls.items():
-            calls.add_metric([kind], count)
-        yield calls
-        unreadable = CounterMetricFamily(
+            store_calls.add_metric([kind], count)
+        yield store_calls
+        unreadable_entries = CounterMetricFamily(
             "hollowrack_unreadable_entries",
             "Changes of the store that could not be read, by prefix",
             labels=["prefix"],
         )
         for prefix, count in self._counts.unreadable_entries.items():
-            unreadable.add_metric([prefix], count)
-        yield unreadable
+            unreadable_entries.add_metric([prefix], count)
+        yield unreadable_entries
         given_up = CounterMetricFamily(
             "hollowrack_items_given_up", "Items given up here by reason", labels=["reason"]
         )
         for reason, count in self._node.services.num_given_up.items():
             given_up.add_metric([reason.name], count)
         yield given_up
-        breaks = CounterMetricFamily(
+        disconnects = CounterMetricFamily(
             "hollowrack_requests_broken_off", "By a worker, by what became of it", labels=["worker"]
         )
         for cause, count in self._node.quarantine.crash_detector.num_disconnects.items():
-            breaks.add_metric([cause.name], count)
-        yield breaks
+            disconnects.add_metric([cause.name], count)
+        yield disconnects
         workers = GaugeMetricFamily(
             "hollowrack_workers", "Workers known, by service and state", labels=["service", "state"]
         )
@@ -116,11 +116,11 @@
         )
         yield self._refusals()
         yield self._waits()
-        for name, text, value in self._gauges():
-            yield GaugeMetricFamily(name, text, value=value)
+        for name, description, value in self._gauges():
+            yield GaugeMetricFamily(name, description, value=value)
 
     def _refusals(self) -> "Metric":
-        from prometheus_client.core import CounterMetricFamily  # noqa: PLC0415 (loaded when asked)
+        from prometheus_client.core import CounterMetricFamily  # noqa: PLC0415 (lazy import)
 
         refusals = CounterMetricFamily(
             "hollowrack_runs_refused",
@@ -132,7 +132,7 @@
         return refusals
 
     def _waits(self) -> "Metric":
-        from prometheus_client.core import (  # noqa: PLC0415 (loaded when asked)
+        from prometheus_client.core import (  # noqa: PLC0415 (lazy import)
             HistogramMetricFamily,
         )
 
@@ -144,23 +144,23 @@
         return waits
 
     def _slots(self) -> Iterator["Metric"]:
-        """How this node shares the slots of workers with other nodes."""
-        from prometheus_client.core import (  # noqa: PLC0415 (loaded when asked)
+        """Yield the metrics of slot sharing with other nodes."""
+        from prometheus_client.core import (  # noqa: PLC0415 (lazy import)
             CounterMetricFamily,
             GaugeMetricFamily,
         )
 
         sharing = self._node.slots
         uses = {service: sharing.holder.usage(service) for service in sharing.shared_services()}
-        texts = {
+        descriptions = {
             "granted": "Slots of workers granted to this node",
             "used": "Requests of this node at workers whose slots are shared",
             "contended": "Whether there is more work than slots",
             "grant_age_seconds": "Age of the grant in force; none without one",
         }
         gauges = {
-            name: GaugeMetricFamily(f"hollowrack_slots_{name}", text, labels=["service"])
-            for name, text in texts.items()
+            name: GaugeMetricFamily(f"hollowrack_slots_{name}", description, labels=["service"])
+            for name, description in descriptions.items()
         }
         for service, use in uses.items():
             gauges["granted"].add_metric([service], use.granted)
@@ -169,12 +169,12 @@
             if use.grant_age_s is not None:
                 gauges["grant_age_seconds"].add_metric([service], use.grant_age_s)
         yield from gauges.values()
-        refused = CounterMetricFamily(
+        refused_messages = CounterMetricFamily(
             "hollowrack_slot_messages_refused", "By what they are", labels=["message"]
         )
-        refused.add_metric(["report"], sharing.arbiter.num_refused)
-        refused.add_metric(["grant"], sharing.holder.num_refused)
-        yield refused
+        refused_messages.add_metric(["report"], sharing.arbiter.num_refused)
+        refused_messages.add_metric(["grant"], sharing.holder.num_refused)
+        yield refused_messages
 
     def _workers(self) -> Counter[tuple[str, str]]:
         return Counter(
@@ -223,17 +223,17 @@
 
 
 def _buckets(histogram: WaitHistogram) -> list[tuple[str, float]]:
-    """The buckets as the metrics library wants them: each with all below it."""
+    """Return cumulative buckets in the format of the metrics library."""
     bounds = [*(str(bound) for bound in BUCKET_BOUNDS_S), "+Inf"]
     return list(zip(bounds, accumulate(map(float, histogram.counts)), strict=True))
 
 
 def metrics_routes(node: EdgeNode, counts: EdgeCounters) -> list[Route]:
-    """Return the route that tells a node's figures in the Prometheus text format."""
+    """Return the route that serves a node's metrics in the Prometheus text format."""
 
     async def render(request: Request) -> Response:
         del request
-        from prometheus_client import (  # noqa: PLC0415 (loaded when asked)
+        from prometheus_client import (  # noqa: PLC0415 (lazy import)
             CollectorRegistry,
             generate_latest,
         )
--- a/src/hollowrack/observability/log_rate_limiter.py
+++ b/src/hollowrack/observability/log_rate_limiter.py
@@ -1,4 +1,4 @@
-"""A bound on log lines that somebody else's writes can cause."""
+"""Rate limiter of repeated log lines."""
 
 from hollowrack.clock import now_s
 
@@ -7,10 +7,10 @@
 
 
 class LogRateLimiter:
-    """Allows so many lines in a period, and counts those that were left out.
+    """Limits the number of log lines per period and counts the suppressed lines.
 
     Args:
-        max_lines: Most lines in one period.
+        max_lines: Maximum number of lines per period.
         period_s: Length of a period, in seconds.
     """
 
@@ -19,23 +19,23 @@
     ) -> None:
         self._max_lines = max_lines
         self._period_s = period_s
-        self._began_s = -float("inf")
+        self._period_start_s = -float("inf")
         self._num_lines = 0
-        self._num_left_out = 0
+        self._num_suppressed = 0
 
     def allows(self) -> bool:
-        """Whether one more line may be written now."""
+        """Return whether a line may be logged now; counts it as logged or suppressed."""
         now = now_s()
-        if now - self._began_s >= self._period_s:
-            self._began_s = now
+        if now - self._period_start_s >= self._period_s:
+            self._period_start_s = now
             self._num_lines = 0
         if self._num_lines >= self._max_lines:
-            self._num_left_out += 1
+            self._num_suppressed += 1
             return False
         self._num_lines += 1
         return True
 
     def reset_suppressed(self) -> int:
-        """Return how many lines were left out since the last call."""
-        num_left_out, self._num_left_out = self._num_left_out, 0
-        return num_left_out
+        """Return and reset the number of lines suppressed since the last call."""
+        num_suppressed, self._num_suppressed = self._num_suppressed, 0
+        return num_suppressed
--- a/src/hollowrack/observability/log_search.py
+++ b/src/hollowrack/observability/log_search.py
@@ -1,7 +1,7 @@
-"""Finds what nodes' JSON logs say about one request, item, job or worker.
+"""Search of JSON logs for the lines about one request, item, job or worker.
 
-Times are those of each node's clock; lines of several nodes are ordered by them, which is as good
-as the clocks agree.
+Lines of several nodes are ordered by their timestamps, so the order depends on the clock skew
+between the nodes.
 """
 
 import json
@@ -12,7 +12,7 @@
 _JOB_OF_ITEM = re.compile(r"\bitem (\S+) of job (\S+?):")
 _WAITS = re.compile(r"\bitem \S+ of job \S+: .*\bwaiting: (.+)$")
 _WORKER = re.compile(r"\bworker (\S+?)[:,; ]")
-# What may have happened to a whole node while the subject was in progress.
+# Events of a whole node that can affect a request or item in progress.
 _CONTEXT = re.compile(
     r"coordination store |leader from now on|session lease \d+ is over|^stopping|^stopped"
     r"|^edge node \S+ started|configuration \d+ in force|^changes of \S+ from"
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True)
 class LogLine:
-    """One line of a node's log.
+    """One parsed line of a node's log.
 
     Attributes:
-        time: When it was written, by the node's clock.
-        node: The node.
-        level: Its level.
-        message: What it says.
+        time: Timestamp as written by the node; text that sorts by time.
+        node: Name of the node.
+        level: Log level, for example ``INFO``.
+        message: Text of the message.
     """
 
     time: str
@@ -39,12 +39,12 @@
 
 @dataclass(frozen=True)
 class LogSearchResult:
-    """What logs say about a subject.
+    """Log lines found for a subject.
 
     Attributes:
-        about: Lines that name the subject, its job or its workers' part in it, oldest first.
-        context: What nodes named there went through in between, oldest first.
-        num_unread: Lines that are no log lines of a node.
+        about: Lines that contain the subject, or concern the job of the item, oldest first.
+        context: Events of the nodes in ``about`` between its first and last line, oldest first.
+        num_unread: Number of non-empty lines that are not JSON log lines.
     """
 
     about: tuple[LogLine, ...]
@@ -53,7 +53,11 @@
 
 
 def parse_lines(lines: Iterable[str]) -> tuple[list[LogLine], int]:
-    """Parse JSON log lines, whatever stands before the JSON; also count those that are none."""
+    """Parse JSON log lines, ignoring any text before the JSON.
+
+    Returns:
+        The parsed lines in input order, and the number of non-empty lines that are not log lines.
+    """
     parsed: list[LogLine] = []
     num_unread = 0
     for line in lines:
@@ -82,7 +86,12 @@
 
 
 def search_logs(subject: str, lines: Iterable[str]) -> LogSearchResult:
-    """Collect what logs say about a request, item, job or worker by its identifier."""
+    """Return the log lines about a request, item, job or worker.
+
+    Args:
+        subject: Identifier of the request, item, job or worker.
+        lines: Log lines of any number of nodes, in any order.
+    """
     parsed, num_unread = parse_lines(lines)
     parsed.sort(key=lambda line: line.time)
     direct = [line for line in parsed if subject in line.message]
@@ -93,7 +102,7 @@
 
 
 def _is_about_jobs(line: LogLine, jobs: set[str]) -> bool:
-    """Whether a line is about one of the jobs as a whole, not about another of its items."""
+    """Return whether a line concerns one of the jobs as a whole, not one of its items."""
     return any(line.message.startswith(f"job {job}:") for job in jobs)
 
 
@@ -110,15 +119,15 @@
 
 
 def worker_ids(lines: Iterable[LogLine]) -> list[str]:
-    """Return the workers that lines name, sorted."""
+    """Return the identifiers of the workers mentioned in the lines, sorted."""
     return sorted({match[1] for line in lines for match in _WORKER.finditer(line.message)})
 
 
 def wait_descriptions(lines: Iterable[LogLine]) -> list[str]:
-    """Return the waits of items that lines tell, one a text, in the order of the lines."""
-    told: list[str] = []
+    """Return the descriptions of items' waits, in the order of the lines."""
+    descriptions: list[str] = []
     for line in lines:
         found = _WAITS.search(line.message)
         if found is not None:
-            told.extend(found[1].split("; "))
-    return told
+            descriptions.extend(found[1].split("; "))
+    return descriptions
--- a/src/hollowrack/observability/logs.py
+++ b/src/hollowrack/observability/logs.py
@@ -1,7 +1,7 @@
-"""Structured logging through absl: JSON for machines, plain lines for people.
+"""Structured logging through absl, as JSON or as human-readable lines.
 
-Prompts, answers, keys and signatures are never logged. Fields that name a request, sample, run,
-step, node and zone are taken from the context in which a message is logged.
+Prompts, responses, keys and signatures must never be logged. Fields such as request, sample, run,
+step, node and zone come from the context in which a message is logged.
 """
 
 import contextvars
@@ -29,7 +29,7 @@
 
 @contextmanager
 def log_fields(**fields: str) -> Iterator[None]:
-    """Add fields (request, sample, run, step, node, zone) to all messages logged inside."""
+    """Add fields (request, sample, run, step, node, zone) to messages logged in the block."""
     token = _fields.set(_fields.get({}) | fields)
     try:
         yield
@@ -40,7 +40,7 @@
 class _FieldFilter(standard_logging.Filter):
     def filter(self, record: standard_logging.LogRecord) -> bool:
         if hasattr(record, "fields"):
-            return True  # Seen before, in the context where it was made.
+            return True  # Already annotated in the context in which the record was created.
         for name, value in _fields.get({}).items():
             setattr(record, name, value)
         record.fields = " ".join(f"{name}={value}" for name, value in _fields.get({}).items())
@@ -48,7 +48,7 @@
 
 
 class _NodeJsonFormatter(JsonFormatter):
-    """JSON lines; the human formatter's joined field text is left out."""
+    """JSON formatter that omits the joined field text of the human-readable format."""
 
     def add_fields(
         self,
@@ -65,38 +65,41 @@
 
 
 class BoundedLogHandler(QueueHandler):
-    """Hands records to a thread that writes them, and drops what it cannot keep up with.
+    """Log handler that queues records for a writer thread and drops them when the queue is full.
 
-    A reader that does not read would otherwise stop the whole process at its next line.
+    Without it, a blocked standard error stream would block the whole process on its next log line.
+
+    Attributes:
+        num_dropped: Records dropped since the last line that reported dropped records.
     """
 
-    def __init__(self, target: standard_logging.Handler, max_waiting: int) -> None:
-        self._waiting: queue.Queue[standard_logging.LogRecord] = queue.Queue(max_waiting)
-        super().__init__(self._waiting)
+    def __init__(self, target: standard_logging.Handler, max_queued: int) -> None:
+        self._queue: queue.Queue[standard_logging.LogRecord] = queue.Queue(max_queued)
+        super().__init__(self._queue)
         self.num_dropped = 0
         self._target = target
-        self._listener = QueueListener(self._waiting, target)
+        self._listener = QueueListener(self._queue, target)
         self._listener.start()
 
     def prepare(self, record: standard_logging.LogRecord) -> standard_logging.LogRecord:
-        """Let the target's filters see the record where it was made; formatting is left to it."""
+        """Apply the target's filters in the calling context; the writer formats the record."""
         self._target.filter(record)
         return record
 
     def stop(self) -> None:
-        """Stop the thread once all that waits is written; needs a reader."""
+        """Write all queued records and stop the writer; blocks while the stream is blocked."""
         self._listener.stop()
 
     def drain(self, timeout_s: float) -> None:
-        """Wait a moment until what waits is written, at the end of a process."""
+        """Wait until the queue is empty, for at most ``timeout_s`` seconds."""
         deadline_s = time.monotonic() + timeout_s
-        while not self._waiting.empty() and time.monotonic() < deadline_s:
+        while not self._queue.empty() and time.monotonic() < deadline_s:
             time.sleep(DRAIN_POLL_INTERVAL_S)
 
     def enqueue(self, record: standard_logging.LogRecord) -> None:
-        """Queue a record, or count it as dropped; the count is told once there is room again."""
+        """Queue a record or drop it; logs the number of dropped records once there is room."""
         try:
-            self._waiting.put_nowait(record)
+            self._queue.put_nowait(record)
         except queue.Full:
             self.num_dropped += 1
             return
@@ -106,22 +109,28 @@
 
 
 def use_bounded_handler(max_queued: int = MAX_QUEUED_RECORDS) -> BoundedLogHandler:
-    """Make logging never wait for its reader; call after :func:`setup_logging`.
+    """Replace the absl handler by a bounded one; call after :func:`setup_logging`.
 
     Args:
-        max_queued: Most records that wait to be written.
+        max_queued: Maximum number of records queued for writing.
     """
     target = logging.get_absl_handler()
-    bounded = BoundedLogHandler(target, max_queued)
+    bounded_handler = BoundedLogHandler(target, max_queued)
     root = standard_logging.getLogger()
     root.removeHandler(target)
-    root.addHandler(bounded)
-    return bounded
+    root.addHandler(bounded_handler)
+    return bounded_handler
 
 
 def setup_logging(settings: Logging, node: str, zone: str) -> None:
-    """Set the process's log format and level, and the fields that name this node."""
-    # The program has no absl flags; without this absl takes every message for a premature one.
+    """Set the log format and level of the process, and the node and zone fields.
+
+    Args:
+        settings: Log format and level.
+        node: Name of this node.
+        zone: Zone of this node.
+    """
+    # absl warns about messages logged before flags are parsed, and this program defines no flags.
     flags.FLAGS.mark_as_parsed()
     logging.set_verbosity(_LEVELS[settings.level])
     handler = logging.get_absl_handler()
@@ -140,5 +149,5 @@
     handler.addFilter(_FieldFilter())
     logging.use_absl_handler()
     _fields.set({"node": node, "zone": zone})
-    for noisy in ("uvicorn", "uvicorn.error", "uvicorn.access", "aiohttp", "asyncio"):
-        standard_logging.getLogger(noisy).setLevel(standard_logging.WARNING)
+    for logger_name in ("uvicorn", "uvicorn.error", "uvicorn.access", "aiohttp", "asyncio"):
+        standard_logging.getLogger(logger_name).setLevel(standard_logging.WARNING)
--- a/src/hollowrack/observability/metrics.py
+++ b/src/hollowrack/observability/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of a node; units are part of the names."""
+"""Prometheus metrics of a node; metric names include the units."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
@@ -6,7 +6,7 @@
 
 
 class NodeMetrics:
-    """All metrics of one node, in a registry of its own so that several nodes share a process."""
+    """Metrics of one node in a separate registry, so that several nodes can share a process."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
