--- a/src/hollowrack/platform/__init__.py
+++ b/src/hollowrack/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: its names, formats and calls; nothing here decides."""
+"""Adapter to the users' platform: names, data formats and API calls, without policy."""
--- a/src/hollowrack/platform/configuration.py
+++ b/src/hollowrack/platform/configuration.py
@@ -1,4 +1,4 @@
-"""What operators, trainers and workers keep in the platform's store, as the product's types."""
+"""Decoders for entries that operators, trainers and workers keep in the platform's store."""
 
 import json
 from collections.abc import Callable
@@ -31,9 +31,9 @@
 DEFAULT_MAX_CONNECTIONS = 100
 DEFAULT_TARGET_LATENCY_MS = 1000
 LOWEST_PRIORITY = 9
-# Workers hold this one before any is named.
+# Version that workers hold before a trainer announces one.
 MIN_NAMED_VERSION = 1
-# What another writer can put into one line of a log, in characters.
+# Bounds on text from other writers in one log line, in characters.
 MAX_LOGGED_DETAIL_LENGTH = 300
 MAX_LOGGED_PLACE_LENGTH = 200
 
@@ -49,12 +49,12 @@
 
 
 def decode_configuration(value: bytes) -> Result[RoutingConfiguration, Problem]:
-    """Decode the operators' configuration; fails with ``PLATFORM_ANSWER_INVALID``."""
+    """Decode the operators' configuration or fail with ``PLATFORM_ANSWER_INVALID``."""
     return _decode(value, names.CONFIGURATION_KEY, _configuration)
 
 
 def decode_worker(key: str, value: bytes) -> Result[Worker, Problem]:
-    """Decode a worker's entry; fails with ``ENTRY_UNREADABLE``."""
+    """Decode a worker's entry or fail with ``ENTRY_UNREADABLE``."""
 
     def build(content: dict[str, Any]) -> Worker:
         worker_id = check_worker_id(key.removeprefix(names.WORKERS_PREFIX))
@@ -64,34 +64,37 @@
 
 
 def decode_target_version(key: str, value: bytes) -> Result[tuple[str, int], Problem]:
-    """Decode a trainer's newest version: model and version; fails with ``ENTRY_UNREADABLE``."""
+    """Decode a trainer's announcement into model and version or fail with ``ENTRY_UNREADABLE``."""
     return _decode(value, key, _named_version, ResultCode.ENTRY_UNREADABLE)
 
 
 def check_retirement(key: str, value: bytes) -> Result[None, Problem]:
-    """Check that a value asks for a machine to be emptied; fails with ``ENTRY_UNREADABLE``."""
+    """Validate a request to retire a machine; fails with ``ENTRY_UNREADABLE``."""
     return _decode(value, key, _check_retirement, ResultCode.ENTRY_UNREADABLE)
 
 
 def model_versions(entries: Any) -> dict[str, int]:
-    """Read the versions of a worker's models."""
+    """Return the weight version of each model in a worker's list of models."""
     return {str(entry["name"]): int(entry["version"]) for entry in entries or ()}
 
 
 def started_ms(account: dict[str, Any]) -> int:
-    """Read when a worker's life started from what it says of itself; 0 if it does not tell.
+    """Return the start time of a worker's incarnation, in milliseconds since the Unix epoch.
+
+    Args:
+        account: The worker's report, decoded; without a start time the result is 0.
 
     Raises:
-        TypeError: If that is no whole number.
+        TypeError: If the start time is not an integer.
     """
     started = account.get(names.STARTED_MS, 0)
     if type(started) is not int:
-        raise TypeError(f"{names.STARTED_MS} is no whole number: {started!r}")
+        raise TypeError(f"{names.STARTED_MS} must be an integer, got {started!r}")
     return started
 
 
 def retirement_status(node: str) -> tuple[str, bytes]:
-    """Return the key and value that say a machine has been emptied."""
+    """Return the key and value that report a machine as retired."""
     value = json.dumps({"state": names.RETIREMENT_COMPLETE}).encode()
     return names.RETIREMENT_STATUS_PREFIX + node, value
 
@@ -105,20 +108,20 @@
     try:
         return Success(build(parse_object(value)))
     except (ValueError, LookupError, TypeError, AttributeError, ArithmeticError) as error:
-        detail = _bounded(f"{type(error).__name__}: {error}", MAX_LOGGED_DETAIL_LENGTH)
-        return Failure(Problem(code, f"{detail}.", _bounded(place, MAX_LOGGED_PLACE_LENGTH)))
+        detail = _truncated(f"{type(error).__name__}: {error}", MAX_LOGGED_DETAIL_LENGTH)
+        return Failure(Problem(code, f"{detail}.", _truncated(place, MAX_LOGGED_PLACE_LENGTH)))
 
 
-def _bounded(text: str, max_length: int) -> str:
-    """A text of another writer as it may stand in one line of a log."""
+def _truncated(text: str, max_length: int) -> str:
+    """Return text of another writer as ASCII, escaped and truncated for a log line."""
     shown = ascii(text)[1:-1]
     return shown if len(shown) <= max_length else f"{shown[:max_length]}..."
 
 
 def _configuration(content: dict[str, Any]) -> RoutingConfiguration:
-    # What is left out would end all routes: a configuration is written in full.
+    # A configuration without routes would remove all of them, so both fields are required.
     if type(content["version"]) is not int or not isinstance(content["routes"], list):
-        raise ValueError("the version is no whole number, or the routes are no list")
+        raise ValueError("version must be an integer and routes must be a list")
     services = {entry["name"]: _service(entry) for entry in content.get("services", ())}
     routes = tuple(_route(entry) for entry in content["routes"])
     return RoutingConfiguration(
@@ -133,9 +136,9 @@
 def _tenant(entry: dict[str, Any]) -> Tenant:
     name = str(entry["name"])
     keys = entry.get("api-keys") or ()
-    # No error names a key: errors are logged.
+    # Errors are logged, so they must not contain a key.
     if not all(isinstance(key, str) and key.strip() for key in keys):
-        raise ValueError(f"tenant {name!r}: a key is empty or no text")
+        raise ValueError(f"tenant {name!r}: every key must be a non-empty string")
     priority = entry.get("priority")
     return Tenant(
         name,
@@ -169,7 +172,9 @@
         {str(zone): float(price) for zone, price in (entry.get("zone-prices") or {}).items()},
     )
     if not 0 <= limits.min_workers <= limits.max_workers:
-        raise ValueError(f"scaling: {limits.min_workers} to {limits.max_workers} workers")
+        raise ValueError(
+            f"scaling: invalid range of {limits.min_workers} to {limits.max_workers} workers"
+        )
     return limits
 
 
@@ -228,13 +233,13 @@
 def _named_version(entry: dict[str, Any]) -> tuple[str, int]:
     model, version = entry["model"], entry["version"]
     if not isinstance(model, str) or type(version) is not int:
-        raise ValueError("the model is no text, or the version no whole number")
+        raise ValueError("model must be a string and version must be an integer")
     if not MIN_NAMED_VERSION <= version <= MAX_WHOLE_NUMBER:
-        raise ValueError("the version is no whole number from 1 on that all can tell")
+        raise ValueError("version must be an integer from 1 to 2**53 - 1")
     return model, version
 
 
 def _check_retirement(entry: dict[str, Any]) -> None:
     duration_s = entry.get("duration-s", 0.0)
     if isinstance(duration_s, bool) or not isinstance(duration_s, int | float) or duration_s < 0:
-        raise ValueError("duration-s is no time in seconds")
+        raise ValueError("duration-s must be a non-negative number of seconds")
--- a/src/hollowrack/platform/duty_client.py
+++ b/src/hollowrack/platform/duty_client.py
@@ -1,4 +1,4 @@
-"""Calls of the platform that one node makes for all: reports of usage and orders of capacity."""
+"""Client of the platform's duty service: usage reports and capacity orders."""
 
 from http import HTTPStatus
 
@@ -10,7 +10,7 @@
 from hollowrack.platform import names
 from hollowrack.usage.types import WindowReport
 
-# A call must be over before the leader's session may be: it is begun half a second before that.
+# A leader starts calls only until half a second before its session can expire.
 CALL_TIMEOUT_S = 0.8
 CONNECT_TIMEOUT_S = 0.4
 
@@ -22,11 +22,13 @@
 
 
 class PlatformDutyClient:
-    """Reports usage and orders capacity; see :class:`UsageClient` and :class:`CapacityClient`.
+    """Sends usage reports and capacity orders.
+
+    Implements :class:`UsageClient` and :class:`CapacityClient`.
 
     Args:
-        session: HTTP session of this client alone.
-        address: ``IP:PORT`` of the platform's service for such calls.
+        session: HTTP session used by this client only.
+        address: ``IP:PORT`` of the duty service.
     """
 
     def __init__(self, session: aiohttp.ClientSession, address: str) -> None:
@@ -34,12 +36,12 @@
         self._base = f"http://{address}"
 
     async def report_usage(self, holder: DutyHolder, report: WindowReport) -> DutyOutcome:
-        """Deliver the report of one window."""
+        """Send the usage report of one window."""
         body: dict[str, object] = {"window": report.window, "counts": report.counts}
         return await self._call(names.USAGE_PATH, holder, body)
 
     async def order_capacity(self, holder: DutyHolder, order: CapacityOrder) -> DutyOutcome:
-        """Give one order."""
+        """Send a capacity order."""
         body: dict[str, object] = {
             "service": order.service,
             "zone": order.zone,
--- a/src/hollowrack/platform/edge_process.py
+++ b/src/hollowrack/platform/edge_process.py
@@ -1,4 +1,4 @@
-"""The process that serves clients on the platform's edge machines."""
+"""Process of an edge node: wires the node to the platform and its listening sockets."""
 
 import asyncio
 import gc
@@ -41,7 +41,7 @@
 from hollowrack.usage.peer_http import HttpUsagePeers, usage_routes
 
 MAX_CONNECTIONS = 3000
-# Results may be asked for that long after a job was sent; kept a while longer.
+# Ended jobs are retained for this multiple of the time for which results can be requested.
 JOB_RETENTION_FACTOR = 2.0
 READ_TIMEOUT_S = 40.0
 IDLE_TIMEOUT_S = 60.0
@@ -50,23 +50,26 @@
 REPORT_INTERVAL_S = 10.0
 
 
-# A change needs this long from the store's answer to a worker, by way of the node that refuses.
+# Time for the last request accepted before a revocation to reach a worker.
 KEY_REVOCATION_MARGIN_S = 0.5
 
 
 def max_configuration_age_s(bounds: Bounds) -> float | None:
-    """How old a node's configuration may be for it to accept keys; ``None`` for any age."""
+    """Return the maximum age of the configuration at which keys are accepted.
+
+    ``None`` means any age.
+    """
     if not bounds.refuses_unsure_keys:
         return None
     return bounds.revoke_ms / MS_PER_S - KEY_REVOCATION_MARGIN_S
 
 
 class EdgeProcess:
-    """An edge node with its sockets.
+    """An edge node with its listening sockets and HTTP sessions.
 
     Args:
-        settings: The platform's settings.
-        seed: Seed of all random choices; ``None`` draws one.
+        settings: Settings from the platform's file.
+        seed: Seed of the random generator; ``None`` for a random one.
     """
 
     def __init__(self, settings: ProcessSettings, seed: int | None = None) -> None:
@@ -77,10 +80,10 @@
         self._stop_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Bind, connect and start.
+        """Bind the sockets and start the node.
 
         Raises:
-            ProblemError: ``ADDRESS_UNAVAILABLE``.
+            ProblemError: ``ADDRESS_UNAVAILABLE`` if a socket cannot be bound.
         """
         settings = self._settings
         self._sessions = [
@@ -174,7 +177,7 @@
         self._is_started.set()
 
     def _duty_client(self, duty: str) -> PlatformDutyClient | None:
-        """The client for a duty; ``None`` if the deployment has no such duty."""
+        """Return the client for a duty; ``None`` if the deployment has no such duty."""
         cloud = self._settings.cloud
         if cloud is None or duty not in cloud.duties:
             return None
@@ -189,22 +192,22 @@
 
     @property
     def peers_address(self) -> str:
-        """Where other nodes, and those who ask for figures, reach this process."""
+        """Address of the control plane and of metrics; empty if this process has none."""
         return "" if self._peers is None else self._peers.address
 
     def num_store_calls(self, kind: str) -> int:
-        """Return how many calls of a kind this process has made to the store."""
+        """Return the number of store calls of a kind made by this process."""
         return self._store.num_calls[kind]
 
     def start_stop(self) -> None:
-        """Start a planned stop in the background, once the process has started."""
+        """Start a graceful stop in the background; it waits until the process has started."""
         if self._stop_task is None:
             self._stop_task = asyncio.create_task(self._stop())
 
     async def _stop(self) -> None:
         await self._is_started.wait()
         await self.node.turn_away(self._settings.bounds.grace_s)
-        # Callers' last requests and owned jobs end side by side.
+        # Requests in progress and owned jobs finish concurrently.
         await asyncio.gather(self._frontend.stop(), self.node.finish())
         await cancel_all(self._report_task)
         await self._suspension_watch.stop()
@@ -218,7 +221,7 @@
         self.stopped.set()
 
     async def kill(self) -> None:
-        """End at once, as a crash would; for tests."""
+        """Stop abruptly, as a crash would; for tests."""
         await cancel_all(self._report_task)
         await self._suspension_watch.stop()
         await self.node.abandon()
@@ -231,13 +234,13 @@
             await session.close()
 
     async def _report_calls(self) -> None:
-        """Log now and then what was asked of the store: its calls are paid for."""
+        """Log the number of store calls periodically; store calls are billed."""
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
             logging.info("store calls so far: %s", dict(self._store.num_calls))
 
     def reload(self) -> None:
-        """Read the settings again; none of those in use changes while a process lives."""
+        """Re-read the settings file to log whether it is valid; nothing is applied."""
         logging.info("settings read again: %s", type(read_process_settings()).__name__)
 
     async def _complete_retirement(self, machine: str) -> bool:
@@ -247,10 +250,10 @@
 
 
 async def serve_edge(settings: ProcessSettings) -> None:
-    """Run the process until SIGTERM."""
+    """Run an edge process until SIGTERM or SIGINT."""
     process = EdgeProcess(settings)
     loop = asyncio.get_running_loop()
-    # Before callers are served: a stop that comes while the process starts must cut nothing off.
+    # Installed before clients are served, so that a stop during start-up is graceful as well.
     loop.add_signal_handler(signal.SIGTERM, process.start_stop)
     loop.add_signal_handler(signal.SIGINT, process.start_stop)
     loop.add_signal_handler(signal.SIGHUP, process.reload)
--- a/src/hollowrack/platform/exchange.py
+++ b/src/hollowrack/platform/exchange.py
@@ -1,4 +1,4 @@
-"""One client's request and its answer over ASGI."""
+"""A client's request and its response over ASGI."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 from hollowrack.tenants.types import Tenant
 
 MS_PER_S = 1000
-# Clients ask for answers to be held this long at the most.
+# Upper bound of the wait that clients can request.
 MAX_WAIT_S = 1.0
 JSON_HEADERS: Headers = (("Content-Type", "application/json"),)
 
@@ -31,23 +31,23 @@
 
 
 class ClientDisconnectedError(Exception):
-    """The client closed its connection."""
+    """The client closed its connection before the response was complete."""
 
 
 class Exchange:
-    """One request and its answer.
+    """One HTTP request and its response.
 
     Args:
-        scope: The request's head.
-        receive: Receives its body, and its client's leaving.
-        send: Sends its answer.
-        node: The node that answers.
-        answers: Counts answers by the name of their result code.
+        scope: ASGI scope of the request.
+        receive: Receives the body and the disconnect message.
+        send: Sends the response.
+        node: Node that serves the request.
+        answers: Counters of responses by name of the result code.
 
     Attributes:
         method: HTTP method.
-        path: Path as the client sent it, without the query.
-        has_begun: Whether the answer has begun.
+        path: Raw path without the query.
+        has_begun: Whether the response has started.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self._headers: Headers = tuple(
             (name.decode("latin-1"), value.decode("latin-1")) for name, value in scope["headers"]
         )
-        self._by_name = {name.lower(): value for name, value in self._headers}
+        self._values_by_name = {name.lower(): value for name, value in self._headers}
         self._receive = receive
         self._send = send
         self._node = node
@@ -69,45 +69,45 @@
 
     @property
     def host(self) -> str:
-        """The host asked for."""
+        """Value of the ``Host`` header in lower case."""
         return self._header("host").lower()
 
     @property
     def request_id(self) -> str:
-        """The client's identifier of this attempt."""
+        """Identifier that the client gave this request."""
         return self._header(names.REQUEST_ID)
 
     @property
     def wait_s(self) -> float:
-        """How long an answer may be held until there is something to tell, in seconds."""
+        """Requested wait for new results, in seconds, bounded by ``MAX_WAIT_S``."""
         wait = self._header(names.WAIT_MS)
         return min(MAX_WAIT_S, int(wait) / MS_PER_S) if wait.isdigit() else 0.0
 
     @property
     def last_event(self) -> int | None:
-        """The event behind which a stream is to go on."""
+        """Number of the event after which a stream resumes; ``None`` to start at the beginning."""
         number = self._header(names.LAST_EVENT_ID)
         return int(number) if number.isdigit() else None
 
     @property
     def credentials(self) -> list[str]:
-        """The values of all credential headers."""
+        """Values of all credential headers."""
         name = names.CREDENTIALS.lower()
         return [value for header, value in self._headers if header.lower() == name]
 
     def query_value(self, name: str) -> str:
-        """Return a query parameter, or an empty text."""
+        """Return a query parameter; empty if it is absent."""
         return parse_qs(self._query).get(name, [""])[0]
 
     def query_int(self, name: str) -> int | None:
-        """Return a query parameter as a number, 0 if it is absent, ``None`` if it is none."""
+        """Return a query parameter as an integer; 0 if absent, ``None`` if not a number."""
         value = self.query_value(name)
         if not value:
             return 0
         return int(value) if value.isdigit() else None
 
     def forward_request(self, route: Route, body: bytes, tenant: Tenant | None) -> ForwardRequest:
-        """Build the request that goes to a worker."""
+        """Build the request that is forwarded to a worker."""
         target = f"{self.path}?{self._query}" if self._query else self.path
         call = BackEndCall(
             self.request_id,
@@ -123,7 +123,11 @@
         return ForwardRequest(call, route, deadline_s)
 
     async def read_body(self, max_bytes: int) -> bytes | Problem:
-        """Read the whole body, up to a limit."""
+        """Read the whole body; returns ``BODY_TOO_LARGE`` if it exceeds the limit.
+
+        Raises:
+            ClientDisconnectedError: If the client disconnects first.
+        """
         parts: list[bytes] = []
         num_bytes = 0
         while True:
@@ -133,46 +137,46 @@
             part = message.get("body", b"")
             num_bytes += len(part)
             if num_bytes > max_bytes:
-                detail = f"the body is over {max_bytes} bytes"
+                detail = f"request body exceeds {max_bytes} bytes"
                 return Problem(ResultCode.BODY_TOO_LARGE, detail, "body")
             parts.append(part)
             if not message.get("more_body"):
                 return b"".join(parts)
 
     async def run_while_connected(self, work: Awaitable[Value]) -> Value:
-        """Do work, and cancel it at once if the client leaves.
+        """Await work; cancel it as soon as the client disconnects.
 
         Raises:
-            ClientDisconnectedError: If the client left first.
+            ClientDisconnectedError: If the client disconnects before the work is done.
         """
-        working = asyncio.ensure_future(work)
-        leaving = asyncio.ensure_future(self._until_left())
+        work_task = asyncio.ensure_future(work)
+        disconnect_task = asyncio.ensure_future(self._wait_for_disconnect())
         try:
-            await asyncio.wait({working, leaving}, return_when=asyncio.FIRST_COMPLETED)
-            if working.done():
-                return working.result()
+            await asyncio.wait({work_task, disconnect_task}, return_when=asyncio.FIRST_COMPLETED)
+            if work_task.done():
+                return work_task.result()
             raise ClientDisconnectedError
         finally:
-            for task in (working, leaving):
+            for task in (work_task, disconnect_task):
                 if not task.done():
                     task.cancel()
-            await asyncio.gather(working, leaving, return_exceptions=True)
+            await asyncio.gather(work_task, disconnect_task, return_exceptions=True)
 
-    async def _until_left(self) -> None:
+    async def _wait_for_disconnect(self) -> None:
         while (await self._receive())["type"] != "http.disconnect":
             pass
 
     async def send(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response and count it as ``OK``."""
         self._answers[ResultCode.OK.name] += 1
         await self._send_answer(status, headers, body)
 
     async def _send_answer(self, status: int, headers: Headers, body: bytes) -> None:
         self.has_begun = True
-        await send_whole(self._send, status, (*headers, *self._closing()), body)
+        await send_whole(self._send, status, (*headers, *self._connection_headers()), body)
 
     async def send_problem(self, problem: Problem) -> None:
-        """Send the answer that stands for a problem."""
+        """Send the error response for a problem, and log it."""
         headers = JSON_HEADERS
         if problem.retry_after_s is not None:
             headers = (*headers, (names.RETRY_AFTER, f"{problem.retry_after_s:g}"))
@@ -184,25 +188,25 @@
         await self._send_answer(status, headers, json.dumps(problem_body(problem)).encode())
 
     async def start_stream(self, status: int, headers: Headers) -> None:
-        """Send the head of a streamed answer."""
+        """Send the status and headers of a streamed response."""
         self._answers[ResultCode.OK.name] += 1
         self.has_begun = True
-        message = _head(status, (*headers, *self._closing()))
+        message = _head(status, (*headers, *self._connection_headers()))
         await self._send(message)
 
     async def send_chunk(self, chunk: bytes) -> None:
-        """Send a piece of a streamed answer."""
+        """Send a chunk of a streamed response."""
         await self._send({"type": "http.response.body", "body": chunk, "more_body": True})
 
     async def finish(self) -> None:
-        """End a streamed answer as complete."""
+        """Complete a streamed response."""
         await self._send({"type": "http.response.body", "body": b"", "more_body": False})
 
-    def _closing(self) -> Headers:
+    def _connection_headers(self) -> Headers:
         return (("Connection", "close"),) if self._node.is_stopping else ()
 
     def _header(self, name: str) -> str:
-        return self._by_name.get(name.lower(), "")
+        return self._values_by_name.get(name.lower(), "")
 
 
 def _head(status: int, headers: Headers) -> Message:
@@ -211,6 +215,6 @@
 
 
 async def send_whole(send: Send, status: int, headers: Headers, body: bytes) -> None:
-    """Send an answer whose body is known."""
+    """Send a response whose body is known in full."""
     await send(_head(status, (*headers, ("Content-Length", str(len(body))))))
     await send({"type": "http.response.body", "body": body})
--- a/src/hollowrack/platform/http_session.py
+++ b/src/hollowrack/platform/http_session.py
@@ -1,10 +1,10 @@
-"""HTTP sessions towards workers, the store and other nodes."""
+"""HTTP sessions for workers, the store and other nodes."""
 
 import aiohttp
 
 from hollowrack.messages.idle_connections import PeerConnector
 
-# Between nodes and to the store: questions follow each other within a second or two.
+# Requests to other nodes and the store recur within a second or two.
 IDLE_CONNECTION_TIMEOUT_S = 4.0
 NO_CONNECTION_LIMIT = 0
 
@@ -14,12 +14,12 @@
     response_class: type[aiohttp.ClientResponse] = aiohttp.ClientResponse,
     idle_timeout_s: float = IDLE_CONNECTION_TIMEOUT_S,
 ) -> aiohttp.ClientSession:
-    """Return a session that leaves bodies as they are and keeps no cookies.
+    """Return a session that does not decompress bodies and does not store cookies.
 
     Args:
-        force_close: Whether every request has a connection of its own.
-        response_class: Class of the answers.
-        idle_timeout_s: How long an idle connection is kept, in seconds.
+        force_close: Whether to use a new connection for every request.
+        response_class: Class of the responses.
+        idle_timeout_s: Time after which an idle connection is closed, in seconds.
     """
     if force_close:
         connector = PeerConnector(limit=NO_CONNECTION_LIMIT, force_close=True)
--- a/src/hollowrack/platform/ingress.py
+++ b/src/hollowrack/platform/ingress.py
@@ -1,4 +1,4 @@
-"""The platform's face towards clients and trainers: requests in, answers out."""
+"""ASGI applications for client and trainer requests and for readiness checks."""
 
 import contextlib
 from collections import Counter
@@ -23,18 +23,18 @@
 
 HTTP_OK = 200
 HTTP_ACCEPTED = 202
-# A node reads its first configuration within a second of its start; other nodes have theirs.
+# A node reads its first configuration within a second of its start.
 NOT_CONFIGURED_RETRY_AFTER_S = 0.5
 
 
 class ReadinessApp:
-    """Answers whether this node takes clients."""
+    """Readiness endpoint: reports whether this node accepts client requests."""
 
     def __init__(self, node: EdgeNode) -> None:
         self._node = node
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer 200 or 503."""
+        """Respond with 200 or 503."""
         del receive
         if scope["type"] == "http":
             status = HTTP_OK if self._node.is_ready else 503
@@ -42,14 +42,14 @@
 
 
 class IngressApp:
-    """Answers clients; see the platform's page on requests and batch jobs.
+    """Serves client requests: plain requests, streams and jobs.
 
     Args:
-        node: The node.
-        streams: Forwards streams.
-        answers: Counts answers by the name of their result code.
-        max_configuration_age_s: Keys are refused once the store's last answer is older than this,
-            in seconds; ``None`` to serve on by the configuration that is known.
+        node: Node that serves the requests.
+        streams: Forwarder of streams.
+        answers: Counters of responses by name of the result code.
+        max_configuration_age_s: Age of the configuration above which API keys are refused, in
+            seconds; ``None`` to accept keys at any age.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._max_configuration_age_s = max_configuration_age_s
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request."""
+        """Serve one request."""
         if scope["type"] != "http":
             return
         exchange = Exchange(scope, receive, send, self._node, self._answers)
@@ -75,10 +75,12 @@
             except ClientDisconnectedError:
                 raise
             except Exception:
-                logging.exception("request %s failed here", exchange.request_id)
+                logging.exception("request %s failed with an unexpected error", exchange.request_id)
                 if exchange.has_begun:
                     raise
-                problem = Problem(ResultCode.INTERNAL_ERROR, "the request failed here")
+                problem = Problem(
+                    ResultCode.INTERNAL_ERROR, "the request failed with an internal error"
+                )
                 await exchange.send_problem(problem)
 
     async def _answer(self, exchange: Exchange) -> None:
@@ -93,20 +95,20 @@
                 )
             )
         elif path.startswith(names.JOBS_PATH):
-            await self._about_job(exchange, names.JOBS_PATH, self._job_call)
+            await self._authenticated_job_call(exchange, names.JOBS_PATH, self._job_call)
         elif path.startswith(names.ITEMS_PATH):
-            await self._about_job(exchange, names.ITEMS_PATH, self._item_call)
+            await self._authenticated_job_call(exchange, names.ITEMS_PATH, self._item_call)
         else:
-            await self._routed(exchange)
+            await self._serve_route(exchange)
 
-    async def _routed(self, exchange: Exchange) -> None:
+    async def _serve_route(self, exchange: Exchange) -> None:
         routes = self._node.routes
-        # A caller without a key learns no more than which paths have routes: an unknown one is
-        # told as such, as whether it would need a key is not known either.
+        # An unknown path is reported as such without authentication, because it has no route that
+        # says whether a key is required.
         route = routes.lookup(exchange.host, exchange.path)
         if route is None:
             problem = Problem(ResultCode.UNKNOWN_ROUTE, routes.describe(), exchange.path)
-            await exchange.send_problem(self._unless_old(problem))
+            await exchange.send_problem(self._unless_stale(problem))
             return
         caller = self._authenticate(exchange, route.is_public)
         if isinstance(caller, Failure):
@@ -125,19 +127,19 @@
 
     def _authenticate(self, exchange: Exchange, is_public: bool) -> Result[Tenant | None, Problem]:
         tenants = self._node.routes.tenants
-        if tenants and not is_public and self._is_configuration_old():
-            detail = "a key may have been taken away meanwhile"
+        if tenants and not is_public and self._is_configuration_too_old():
+            detail = "the key may have been revoked since the configuration was read"
             problem = Problem(
                 ResultCode.CONFIGURATION_OLD, detail, "", NOT_CONFIGURED_RETRY_AFTER_S
             )
             return Failure(problem)
-        return authenticate(tenants, exchange.credentials, is_public).alt(self._unless_old)
+        return authenticate(tenants, exchange.credentials, is_public).alt(self._unless_stale)
 
-    def _unless_old(self, problem: Problem) -> Problem:
-        """Say that something is absent, or that this node's configuration is too old to tell.
+    def _unless_stale(self, problem: Problem) -> Problem:
+        """Return the problem, or ``CONFIGURATION_OLD`` while the configuration may be stale.
 
-        What an old configuration lacks may have been added since, and callers do not repeat a
-        request that was answered by the absence.
+        A key or route missing from a stale configuration may exist by now, and clients do not
+        retry a request after a definitive error.
         """
         if not self._node.is_configuration_stale:
             return problem
@@ -146,17 +148,17 @@
             ResultCode.CONFIGURATION_OLD, detail, problem.place, NOT_CONFIGURED_RETRY_AFTER_S
         )
 
-    def _is_configuration_old(self) -> bool:
+    def _is_configuration_too_old(self) -> bool:
         max_age_s = self._max_configuration_age_s
         return max_age_s is not None and self._node.configuration_age_s > max_age_s
 
-    async def _about_job(
+    async def _authenticated_job_call(
         self,
         exchange: Exchange,
         prefix: str,
-        answer: Callable[[Exchange, str], Awaitable[None]],
+        handler: Callable[[Exchange, str], Awaitable[None]],
     ) -> None:
-        """Answer a call about a job, which is looked for among those of the caller's tenant."""
+        """Serve a call about a job after authentication; only the tenant's own jobs are visible."""
         is_public = self._node.routes.has_public_jobs(exchange.host)
         caller = self._authenticate(exchange, is_public)
         if isinstance(caller, Failure):
@@ -165,7 +167,7 @@
         tenant = caller.unwrap()
         caller_job_id = unquote(exchange.path.removeprefix(prefix))
         name = None if tenant is None else tenant.name
-        await answer(exchange, scoped_job_id(name, caller_job_id))
+        await handler(exchange, scoped_job_id(name, caller_job_id))
 
     async def _forward(self, exchange: Exchange, request: ForwardRequest) -> None:
         outcome = await exchange.run_while_connected(self._node.forwarder.forward(request))
@@ -214,7 +216,9 @@
             return
         after = exchange.query_int("after-revision")
         if after is None:
-            problem = Problem(ResultCode.BAD_REQUEST, "must be a whole number", "after-revision")
+            problem = Problem(
+                ResultCode.BAD_REQUEST, "must be a non-negative integer", "after-revision"
+            )
             await exchange.send_problem(problem)
             return
         page = await exchange.run_while_connected(
--- a/src/hollowrack/platform/job_format.py
+++ b/src/hollowrack/platform/job_format.py
@@ -1,4 +1,4 @@
-"""Jobs and results as the platform writes them, and the product's types."""
+"""Conversion between the platform's JSON format of jobs and results and internal types."""
 
 import base64
 import binascii
@@ -19,14 +19,14 @@
 def decode_job(
     job_id: str, host: str, target: str, body: bytes, tenant: str | None = None
 ) -> Result[Job, Problem]:
-    """Decode a submitted job; fails with ``BAD_REQUEST``, which names the field.
+    """Decode a submitted job or fail with ``BAD_REQUEST`` at the invalid field.
 
     Args:
-        job_id: The caller's identifier.
-        host: Host it was submitted to.
-        target: Path it was submitted under.
-        body: The body.
-        tenant: The tenant whose job it is; ``None`` if it needed no key.
+        job_id: Identifier given by the caller, unique per tenant.
+        host: Host of the request.
+        target: Path of the request.
+        body: JSON body.
+        tenant: Tenant that owns the job; ``None`` on a public route.
     """
     place = "body"
     try:
@@ -50,14 +50,21 @@
         detail = f"{type(error).__name__}: {error}"
         return Failure(Problem(ResultCode.BAD_REQUEST, detail, place))
     if len({item.id for item in job.items}) != len(job.items):
-        return Failure(Problem(ResultCode.BAD_REQUEST, "two items have one identifier", "requests"))
+        return Failure(
+            Problem(ResultCode.BAD_REQUEST, "item identifiers must be unique", "requests")
+        )
     if not job.items:
         return Failure(Problem(ResultCode.BAD_REQUEST, "the job has no items", "requests"))
     return Success(job)
 
 
 def encode_page(page: ResultPage, after: int) -> bytes:
-    """Encode results from a position on, as many as fit one answer."""
+    """Encode a page of results, truncated to about ``MAX_PAGE_BYTES`` of text.
+
+    Args:
+        page: Results from the position ``after`` on.
+        after: Position of the first result of the page.
+    """
     results: list[dict[str, object]] = []
     num_bytes = 0
     for result in page.results:
@@ -74,8 +81,8 @@
 
 
 def _item(entry: dict[str, Any]) -> JobItem:
-    given = [(str(name), str(value)) for name, value in entry.get("headers", {}).items()]
-    headers = forwarded_headers(given, has_credentials=True)
+    raw_headers = [(str(name), str(value)) for name, value in entry.get("headers", {}).items()]
+    headers = forwarded_headers(raw_headers, has_credentials=True)
     scorer = entry.get("scorer")
     return JobItem(
         str(entry["id"]),
--- a/src/hollowrack/platform/load_report.py
+++ b/src/hollowrack/platform/load_report.py
@@ -1,36 +1,36 @@
-"""The load that workers tell with their answers."""
+"""Decoder of the load that workers report in a response header."""
 
 from absl import logging
 
 from hollowrack.forwarding.back_end import LoadReport
 from hollowrack.platform import names
 
-# Running, waiting and slots; a fourth figure tells the speed of that moment, which is over before
-# another request comes.
+# Running, waiting and slots. A fourth figure, the current speed, is ignored: it is outdated before
+# the next request.
 MIN_NUM_FIGURES = 3
 MAX_NUM_FIGURES = 4
-# A worker cannot have more requests than connections; a longer figure is no count of requests.
+# More digits than any possible number of requests, which connections limit.
 MAX_DIGITS = 6
-# A worker that always tells nonsense must not fill the log.
+# Limits the log lines about a worker whose reports are always malformed.
 MALFORMED_PER_LOG_LINE = 1000
 
 
 class LoadReportDecoder:
-    """Decodes loads, and ignores malformed ones.
+    """Decodes load reports and ignores malformed ones.
 
     Attributes:
-        num_malformed: How many were ignored.
+        num_malformed: Number of reports ignored.
     """
 
     def __init__(self) -> None:
         self.num_malformed = 0
 
     def decode(self, value: str | None, worker_id: str) -> LoadReport | None:
-        """Return the load in a header's value; ``None`` if there is none or it is malformed.
+        """Return the load in a header value; ``None`` if it is absent or malformed.
 
         Args:
-            value: The header's value; ``None`` if the answer has no such header.
-            worker_id: The worker, for the log.
+            value: Value of the header; ``None`` if the response has no such header.
+            worker_id: Identifier of the worker, for the log.
         """
         if value is None:
             return None
--- a/src/hollowrack/platform/names.py
+++ b/src/hollowrack/platform/names.py
@@ -1,4 +1,4 @@
-"""Names of the platform: headers, calls, keys and words."""
+"""Names used by the platform: HTTP headers, paths, store keys, fields and states."""
 
 REQUEST_ID = "Request-Id"
 CREDENTIALS = "Authorization"
--- a/src/hollowrack/platform/program.py
+++ b/src/hollowrack/platform/program.py
@@ -1,4 +1,4 @@
-"""Runs one role on the platform: ``edge`` or ``storage``."""
+"""Entry point of a process with the role ``edge`` or ``storage``."""
 
 import asyncio
 import sys
@@ -10,8 +10,8 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the role named by the only argument; return the exit status."""
-    # Each role imports only what it needs: memory and processor time at start are paid for.
+    """Run the role given as the only argument; returns the exit status."""
+    # Lazy imports per role: memory and CPU time at start-up are billed.
     if arguments == [STORAGE_ROLE]:
         from hollowrack.platform.storage_process import serve_storage  # noqa: PLC0415
 
@@ -37,14 +37,14 @@
     if isinstance(settings, Failure):
         sys.stderr.write(f"{settings.failure()}\n")
         return exit_status(settings.failure().code)
-    checked = settings.unwrap()
-    setup_logging(Logging(), checked.node_name, checked.zone)
-    bounded = use_bounded_handler()
+    process_settings = settings.unwrap()
+    setup_logging(Logging(), process_settings.node_name, process_settings.zone)
+    log_handler = use_bounded_handler()
     try:
-        run_on_boot_time(serve_edge(checked))
+        run_on_boot_time(serve_edge(process_settings))
     except ProblemError as error:
         sys.stderr.write(f"{error.problem}\n")
         return exit_status(error.problem.code)
     finally:
-        bounded.drain(LOG_DRAIN_TIMEOUT_S)
+        log_handler.drain(LOG_DRAIN_TIMEOUT_S)
     return 0
--- a/src/hollowrack/platform/settings.py
+++ b/src/hollowrack/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file of a process, checked."""
+"""Settings of a process, read and validated from the platform's settings file."""
 
 import json
 import os
@@ -19,7 +19,7 @@
 
 
 class Listen(_Section):
-    """Addresses of what a process serves; empty where it serves nothing."""
+    """Listening addresses as ``IP:PORT``; empty for endpoints that are not served."""
 
     frontend: str = ""
     readiness: str = ""
@@ -27,66 +27,70 @@
 
 
 class Bounds(_Section):
-    """The bounds that the product works with."""
+    """Time limits and policies that the node must meet."""
 
     grace_s: float = Field(default=8.0, alias="grace-s")
     lease_ms: float = Field(default=3000.0, alias="lease-ms")
     drain_ms: float = Field(default=2000.0, alias="drain-ms")
-    # How long a change of the configuration may take to be in force at every node.
+    # Maximum time until a configuration change is in force on every node.
     config_apply_ms: float = Field(default=2000.0, alias="config-apply-ms")
     status_s: float = Field(default=120.0, alias="status-s")
-    # Whether a node that may not know the keys in force must refuse them, and how soon.
+    # Whether a node whose keys may be out of date refuses them, and after how long.
     refuses_unsure_keys: bool = Field(default=False, alias="revoke-partitioned")
     revoke_ms: float = Field(default=5000.0, alias="revoke-ms")
     usage_window_s: float = Field(default=5.0, alias="report-window-s", gt=0.0)
 
 
 class Limits(_Section):
-    """What the machine has."""
+    """Resources of the machine."""
 
     cpu_shares: float = Field(default=1.0, alias="cpu-shares")
     cores: float = 1.0
 
 
 class StoreSettings(_Section):
-    """Where the platform's store is."""
+    """Location of the platform's store."""
 
     address: str
 
 
 class DutySettings(_Section):
-    """Where the calls go that one node makes for all, and which of them there are."""
+    """Location of the duty service and the duties that it offers."""
 
     address: str
     duties: tuple[str, ...] = ()
 
 
 class ProcessSettings(_Section):
-    """Everything the platform tells a process; unknown keys are left alone."""
+    """All settings of a process; unknown keys are ignored."""
 
     node_name: str = Field(alias="node-name")
     zone: str
     role: str = ""
     listen: Listen = Listen()
-    # Control-plane addresses of up to three machines, which may be down.
+    # Control-plane addresses of up to three nodes, some of which may be down.
     seeds: tuple[str, ...] = ()
     bounds: Bounds = Bounds()
     limits: Limits = Limits()
     platform: StoreSettings
     cloud: DutySettings | None = None
     metrics: str | None = None
-    # Whether nodes that own jobs share the slots of workers that hold several models.
+    # Whether job owners share the slots of workers that serve several models.
     shares_slots: bool = Field(default=True, alias="slot-sharing", strict=True)
 
 
 def read_process_settings(path: Path | None = None) -> Result[ProcessSettings, Problem]:
-    """Read the settings file; fails with ``SETTINGS_UNREADABLE`` or ``SETTINGS_INVALID``."""
+    """Read the settings file; fails with ``SETTINGS_UNREADABLE`` or ``SETTINGS_INVALID``.
+
+    Args:
+        path: Settings file; ``None`` for the one named by the environment variable.
+    """
     if path is None:
-        named = os.environ.get(names.SETTINGS_VARIABLE)
-        if not named:
-            detail = f"the variable {names.SETTINGS_VARIABLE} names no settings file."
+        path_text = os.environ.get(names.SETTINGS_VARIABLE)
+        if not path_text:
+            detail = f"the environment variable {names.SETTINGS_VARIABLE} is not set or empty."
             return Failure(Problem(ResultCode.SETTINGS_UNREADABLE, detail, "environment"))
-        path = Path(named)
+        path = Path(path_text)
     try:
         content: Any = json.loads(path.read_text())
     except (OSError, ValueError) as error:
--- a/src/hollowrack/platform/storage_process.py
+++ b/src/hollowrack/platform/storage_process.py
@@ -1,7 +1,6 @@
-"""The process on the platform's storage machines.
+"""Process of a storage machine, which waits for SIGTERM.
 
-Everything that must last is kept in the platform's store, so this process holds nothing; it runs
-because the platform wants one on every storage machine, and ends on SIGTERM.
+The platform requires a process on every storage machine, but persistent data is kept in its store.
 """
 
 import asyncio
@@ -9,7 +8,7 @@
 
 
 async def serve_storage() -> None:
-    """Run the process until SIGTERM."""
+    """Run a storage process until SIGTERM or SIGINT."""
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stopped.set)
--- a/src/hollowrack/platform/store_client.py
+++ b/src/hollowrack/platform/store_client.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service as the product's coordination store."""
+"""Client of the platform's key-value service, used as the coordination store."""
 
 import base64
 import functools
@@ -35,8 +35,8 @@
 
 CALL_TIMEOUT_S = 1.2
 CONNECT_TIMEOUT_S = 0.6
-# A slow store answers in a quarter of a second. A watch that hangs on a connection whose other end
-# is gone holds changes up for this long.
+# Added to the wait of a watch. Longer than a slow store needs, but short, because a watch on a dead
+# connection delays changes by this time.
 WATCH_TIMEOUT_MARGIN_S = 0.8
 MS_PER_S = 1000
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class _Page:
-    """One page of a listing."""
+    """A page of a listing."""
 
     items: tuple[StoredItem, ...]
     revision: int
@@ -54,11 +54,14 @@
 
 
 class PlatformStore:
-    """Calls the platform's store over HTTP; see :class:`CoordinationStore`.
+    """Client of the platform's store over HTTP; implements :class:`CoordinationStore`.
 
     Args:
-        session: HTTP session of this store alone.
+        session: HTTP session used by this client only.
         address: ``IP:PORT`` of the store.
+
+    Attributes:
+        num_calls: Number of calls by kind.
     """
 
     def __init__(self, session: aiohttp.ClientSession, address: str) -> None:
@@ -79,12 +82,14 @@
         return _checked(lambda: _item(body))
 
     async def list_prefix(self, prefix: str) -> Listing | Unavailable:
-        """Read all keys below a prefix, page by page."""
+        """Read all keys with a prefix, page by page."""
         items: list[StoredItem] = []
         revision: int | None = None
         query = {"path-prefix": prefix}
         while True:
-            answer = await self._call(f"list {_family(prefix)}", "GET", names.KV_RANGE_PATH, query)
+            answer = await self._call(
+                f"list {_call_prefix(prefix)}", "GET", names.KV_RANGE_PATH, query
+            )
             if isinstance(answer, NotDone | Unknown):
                 return answer
             status, body = answer
@@ -93,7 +98,7 @@
             page = _checked(functools.partial(_page, body))
             if isinstance(page, Unknown):
                 return page
-            # The pages are no snapshot: changes are followed from the first page on.
+            # Pages are not a snapshot: changes since the first page must be followed.
             revision = page.revision if revision is None else revision
             items.extend(page.items)
             if not page.has_more or not page.items:
@@ -103,14 +108,14 @@
     async def watch(
         self, prefix: str, after_revision: int, wait_s: float
     ) -> Changes | HistoryGone | Unavailable:
-        """Wait for changes below a prefix."""
+        """Wait for changes of keys with a prefix."""
         query = {
             "path-prefix": prefix,
             "after-revision": str(after_revision),
             "wait-ms": str(int(wait_s * MS_PER_S)),
         }
         answer = await self._call(
-            f"watch {_family(prefix)}",
+            f"watch {_call_prefix(prefix)}",
             "GET",
             names.KV_WATCH_PATH,
             query,
@@ -134,7 +139,7 @@
         puts: Sequence[Put],
         removes: Sequence[str] = (),
     ) -> WriteOutcome:
-        """Do all writes if all conditions hold."""
+        """Apply all writes atomically if all conditions hold."""
         request = {
             "expected-revision": [
                 {"key": condition.key, "revision": condition.revision} for condition in conditions
@@ -159,7 +164,7 @@
         return Unknown(f"status {status}")
 
     async def grant_lease(self, ttl_s: float) -> GrantedLease | Unavailable:
-        """Open a lease."""
+        """Grant a lease."""
         request = {"ttl-ms": int(ttl_s * MS_PER_S)}
         answer = await self._call("grant", "POST", names.KV_LEASE_PATH, body=request)
         if isinstance(answer, NotDone | Unknown):
@@ -182,7 +187,7 @@
         return _checked(lambda: GrantedLease(lease, body["ttl-ms"] / MS_PER_S))
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease."""
+        """Revoke a lease."""
         await self._call("end lease", "DELETE", f"{names.KV_LEASE_END_PATH}{lease}")
 
     async def _call(
@@ -195,9 +200,16 @@
         body: object = None,
         quiet_s: float = 0.0,
     ) -> tuple[int, Any] | Unavailable:
-        """Send one call, counted under a kind; the answer's status and decoded body.
-
-        The store may take ``quiet_s`` seconds of ``timeout_s`` by agreement.
+        """Send a request and return the status and the decoded body.
+
+        Args:
+            kind: Key of the call in ``num_calls``.
+            method: HTTP method.
+            path: Path of the request.
+            query: Query parameters.
+            timeout_s: Timeout of the request, in seconds.
+            body: Body, sent as JSON.
+            quiet_s: Part of the timeout in which a silent store is expected, in seconds.
         """
         self.num_calls[kind] += 1
         url = URL(self._base + path)
@@ -219,8 +231,8 @@
             return Unknown(type(error).__name__)
 
 
-def _family(prefix: str) -> str:
-    """The first parts of a prefix, without what names one job."""
+def _call_prefix(prefix: str) -> str:
+    """Return the first two parts of a prefix, without the identifier of a job."""
     return "/".join(prefix.split("/")[:2])
 
 
@@ -247,15 +259,15 @@
 
 
 def _checked(build: Callable[[], Built]) -> Built | Unknown:
-    """Build the store's answer; ``Unknown``, as the callers log, if it is not one of the store."""
+    """Build the result from a response; returns ``Unknown`` if the response is malformed."""
     try:
         return build()
     except (LookupError, TypeError, ValueError, AttributeError, ArithmeticError) as error:
-        return Unknown(f"a malformed answer: {type(error).__name__}")
+        return Unknown(f"malformed response: {type(error).__name__}")
 
 
 def _value(entry: dict[str, Any]) -> bytes:
-    """An entry's bytes; none if they cannot be read, so that only this entry cannot be."""
+    """Return the bytes of an entry; empty if undecodable, so that only this entry is affected."""
     try:
         return base64.b64decode(entry["value"])
     except (ValueError, TypeError):
--- a/src/hollowrack/platform/store_feed.py
+++ b/src/hollowrack/platform/store_feed.py
@@ -1,4 +1,4 @@
-"""Follows what operators, trainers and workers keep in the platform's store."""
+"""Feed of changes to operator, trainer and worker entries in the platform's store."""
 
 import asyncio
 import random
@@ -25,10 +25,10 @@
 from hollowrack.platform.unreadable_entries import UnreadableEntries
 from hollowrack.results import Problem, ResultCode
 
-# Only the leader's watches reach the store, so that they may be close.
+# Only the leader watches the store, so short intervals cost little.
 OPERATOR_POLL_INTERVAL_S = 0.15
 WORKER_POLL_INTERVAL_S = 0.25
-# Changes missed by a watch must be noticed well inside the two seconds they have.
+# Short, because a change that a watch missed must still arrive within two seconds.
 OPERATOR_WATCH_TIMEOUT_S = 0.5
 WORKER_WATCH_TIMEOUT_S = 1.0
 
@@ -36,55 +36,56 @@
 
 
 class FeedListener(Protocol):
-    """Takes in what the platform tells."""
+    """Receiver of decoded changes from the platform's store."""
 
     def configuration_changed(self, configuration: RoutingConfiguration) -> None:
-        """A configuration was accepted."""
+        """Receive a configuration that was decoded."""
 
     def worker_changed(self, worker: Worker) -> None:
-        """A worker has a new state."""
+        """Receive a new or changed worker."""
 
     def worker_removed(self, worker_id: str) -> None:
-        """A worker is gone."""
+        """Handle the removal of a worker's entry, or an unreadable one."""
 
     def target_version_changed(self, model: str, version: int) -> None:
-        """A trainer has named a weight version."""
+        """Receive the weight version that a trainer announced for a model."""
 
     def retirement_requested(self, node: str) -> None:
-        """An operator asks that a machine be emptied."""
+        """Receive an operator's request to retire a machine."""
 
     def watch_interrupted(self) -> None:
-        """Watches of the store may have missed changes."""
+        """Handle an interruption after which watches may have missed changes."""
 
 
 class PlatformFeed:
-    """Decodes changes in the store and hands them to a listener.
+    """Watches the store, decodes changes and passes them to a listener.
 
     Args:
-        store: Answers watches of the platform's store.
-        listener: Takes them in.
-        operator_pace_s: Least time between two looks at operators' keys, in seconds.
-        worker_pace_s: Least time between two looks at workers' entries, in seconds.
-        operator_wait_s: Longest wait of one watch of operators' keys, in seconds.
-        worker_wait_s: Longest wait of one watch of workers' entries, in seconds.
-        rng: Source of the retry jitter.
-        starts_after: Set once the first listings may begin.
+        store: Store to watch.
+        listener: Receives the decoded changes.
+        operator_poll_interval_s: Minimum interval between watches of operator keys, in seconds.
+        worker_poll_interval_s: Minimum interval between watches of worker entries, in seconds.
+        operator_watch_timeout_s: Maximum wait of one watch of operator keys, in seconds.
+        worker_watch_timeout_s: Maximum wait of one watch of worker entries, in seconds.
+        rng: Random generator of the retry jitter.
+        starts_after: Event after which the first listings may be requested.
 
     Attributes:
-        operators: Mirror of operators' keys; the sentinel of all others.
-        workers: Mirror of workers' entries.
-        anti_entropy: Asks neighbours while watches are silent; ``None`` for never.
-        unreadable: Entries that cannot be read.
+        operators: Mirror of operator keys; the sentinel for the other prefixes.
+        workers: Mirror of worker entries.
+        anti_entropy: Fetches changes from other nodes while watches are silent; ``None`` to
+            disable it.
+        unreadable: Tracker of entries that cannot be decoded.
     """
 
     def __init__(
         self,
         store: CoordinationStore,
         listener: FeedListener,
-        operator_pace_s: float,
-        worker_pace_s: float,
-        operator_wait_s: float,
-        worker_wait_s: float,
+        operator_poll_interval_s: float,
+        worker_poll_interval_s: float,
+        operator_watch_timeout_s: float,
+        worker_watch_timeout_s: float,
         rng: random.Random,
         starts_after: asyncio.Event,
     ) -> None:
@@ -95,93 +96,102 @@
             store,
             names.OPERATOR_PREFIX,
             self._on_operator_key,
-            operator_pace_s,
+            operator_poll_interval_s,
             rng,
-            operator_wait_s,
-            self._on_doubt,
+            operator_watch_timeout_s,
+            self._on_suspected_gap,
             starts_after=starts_after,
         )
         self.workers = PrefixMirror(
             store,
             names.WORKERS_PREFIX,
             self._on_worker_key,
-            worker_pace_s,
+            worker_poll_interval_s,
             rng,
-            worker_wait_s,
+            worker_watch_timeout_s,
             has_sentinel=True,
             starts_after=starts_after,
         )
 
     def start(self) -> None:
-        """Start following."""
+        """Start the watches."""
         self.operators.start()
         self.workers.start()
         if self.anti_entropy is not None:
             self.anti_entropy.start()
 
     async def stop(self) -> None:
-        """Stop following."""
+        """Stop the watches."""
         if self.anti_entropy is not None:
             await self.anti_entropy.stop()
         await self.operators.stop()
         await self.workers.stop()
 
     def rewatch_workers(self) -> None:
-        """Begin the watch of workers' entries anew."""
+        """Restart the watch of worker entries."""
         self.workers.restart_watch()
 
     def rewatch(self) -> None:
-        """Begin both watches anew."""
+        """Restart both watches."""
         self.operators.restart_watch()
         self.workers.restart_watch()
 
     def wake(self) -> None:
-        """End the mirrors' pauses after failures."""
+        """End the mirrors' backoff after failures."""
         self.operators.retry_now()
         self.workers.retry_now()
 
     def mirrors(self) -> dict[str, PrefixMirror]:
-        """Return the mirrors by prefix."""
+        """Return the mirrors by key prefix."""
         return {names.OPERATOR_PREFIX: self.operators, names.WORKERS_PREFIX: self.workers}
 
-    def _on_doubt(self) -> None:
+    def _on_suspected_gap(self) -> None:
         self.workers.relist()
         self._listener.watch_interrupted()
 
     def _on_operator_key(self, key: str, item: StoredItem | None) -> None:
         if item is None:
-            self._on_removed_operator_key(key)
+            self._on_operator_key_removed(key)
             return
-        problem = self._take_operator_key(key, item.value)
+        problem = self._apply_operator_key(key, item.value)
         if problem is None:
             self.unreadable.forget(key)
         else:
             self.unreadable.record(names.OPERATOR_PREFIX, key, problem)
 
-    def _on_removed_operator_key(self, key: str) -> None:
+    def _on_operator_key_removed(self, key: str) -> None:
         self.unreadable.forget(key)
         if key == names.CONFIGURATION_KEY:
             detail = "the key was removed"
             logging.error("%s", Problem(ResultCode.CONFIGURATION_IGNORED, detail, key))
 
-    def _take_operator_key(self, key: str, value: bytes) -> Problem | None:
-        """Hand an operator's or trainer's entry on; returns why it cannot be read, if it cannot."""
+    def _apply_operator_key(self, key: str, value: bytes) -> Problem | None:
+        """Decode an operator's or trainer's entry and notify the listener.
+
+        Returns the problem if the entry cannot be decoded.
+        """
         if key == names.CONFIGURATION_KEY:
-            return self._take(decode_configuration(value), self._listener.configuration_changed)
+            return self._notify_if_decoded(
+                decode_configuration(value), self._listener.configuration_changed
+            )
         if key.startswith(names.NAMED_VERSION_PREFIX):
             named = decode_target_version(key, value)
-            return self._take(
+            return self._notify_if_decoded(
                 named, lambda version: self._listener.target_version_changed(*version)
             )
         if key.startswith(names.RETIREMENT_PREFIX):
             machine = key.removeprefix(names.RETIREMENT_PREFIX)
             asked = check_retirement(key, value)
-            return self._take(asked, lambda _: self._listener.retirement_requested(machine))
+            return self._notify_if_decoded(
+                asked, lambda _: self._listener.retirement_requested(machine)
+            )
         return None
 
     @staticmethod
-    def _take(decoded: Result[Value, Problem], listener: Callable[[Value], None]) -> Problem | None:
-        """Hand on what could be decoded; returns the problem otherwise."""
+    def _notify_if_decoded(
+        decoded: Result[Value, Problem], listener: Callable[[Value], None]
+    ) -> Problem | None:
+        """Pass the decoded value to the listener, or return the decoding problem."""
         if isinstance(decoded, Failure):
             problem: Problem = decoded.failure()
             return problem
@@ -197,7 +207,7 @@
         worker = decode_worker(key, item.value)
         if isinstance(worker, Failure):
             self.unreadable.record(names.WORKERS_PREFIX, key, worker.failure())
-            # Its address may be another worker's by now.
+            # The address may belong to another worker by now.
             self._listener.worker_removed(worker_id)
         else:
             self.unreadable.forget(key)
@@ -205,11 +215,11 @@
 
 
 def make_platform_feed(node: EdgeNode, rng: random.Random) -> PlatformFeed:
-    """Return a feed of a node's own, joined to it and not started.
+    """Return a feed connected to a node; it is not started.
 
     Args:
-        node: The node.
-        rng: Source of the retry jitter.
+        node: Node that receives the changes.
+        rng: Random generator of the retry jitter.
     """
     shared = node.shared_store
     shared.sentinel_prefix = names.OPERATOR_PREFIX
@@ -233,6 +243,6 @@
 
 
 def make_mirror_feed(node: EdgeNode, feed: PlatformFeed) -> MirrorFeed:
-    """Return what answers other nodes' watches from a node's mirrors."""
+    """Return a feed that serves other nodes' watches from a node's mirrors."""
     mirrors = {**feed.mirrors(), **node.shared_mirrors()}
     return MirrorFeed(mirrors, node.shared_store.last_answer_s)
--- a/src/hollowrack/platform/strict_json.py
+++ b/src/hollowrack/platform/strict_json.py
@@ -1,4 +1,4 @@
-"""JSON of other writers, without what Python reads beyond the standard."""
+"""Strict JSON parser for input of other writers, without Python's extensions to the standard."""
 
 import json
 import math
@@ -6,27 +6,27 @@
 
 
 def parse_object(value: bytes) -> dict[str, Any]:
-    """Return the object that some bytes hold.
+    """Parse a JSON object.
 
     Raises:
-        ValueError: If they are no JSON object, hold a number that no float can tell, or are nested
-            too deeply to be read.
+        ValueError: If the value is not a JSON object, is nested too deeply, or contains a number
+            that is not a finite float.
     """
     try:
-        content = json.loads(value, parse_constant=_no_number, parse_float=_finite_number)
+        content = json.loads(value, parse_constant=_reject_constant, parse_float=_finite_number)
     except RecursionError as error:
         raise ValueError("nested too deeply") from error
     if not isinstance(content, dict):
-        raise ValueError(f"a {type(content).__name__} in place of an object")
+        raise ValueError(f"expected an object, got {type(content).__name__}")
     return content
 
 
-def _no_number(text: str) -> float:
-    raise ValueError(f"{text} is no number of JSON")
+def _reject_constant(text: str) -> float:
+    raise ValueError(f"{text} is not a JSON number")
 
 
 def _finite_number(text: str) -> float:
     number = float(text)
     if not math.isfinite(number):
-        raise ValueError("a number is too large")
+        raise ValueError("number is out of the range of a float")
     return number
--- a/src/hollowrack/platform/unreadable_entries.py
+++ b/src/hollowrack/platform/unreadable_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the platform's store that cannot be read: their log lines and their number."""
+"""Tracker of entries in the platform's store that cannot be decoded."""
 
 from collections import Counter, OrderedDict
 
@@ -7,27 +7,27 @@
 from hollowrack.observability.log_rate_limiter import LogRateLimiter
 from hollowrack.results import Problem
 
-# Entries whose last problem is remembered, so that one that is written again is not logged again.
+# Entries whose last problem is kept, so that the same problem is not logged again.
 MAX_TRACKED_ENTRIES = 1024
 
 
 class UnreadableEntries:
-    """Logs each entry once for each problem, within a bound of lines.
+    """Counts unreadable entries and logs each one once per problem.
 
     Args:
-        lines: Bounds the lines.
+        rate_limiter: Limits the log lines.
 
     Attributes:
-        num_by_prefix: Changes that could not be read, by the prefix of their keys.
+        num_by_prefix: Number of changes that could not be decoded, by key prefix.
     """
 
-    def __init__(self, lines: LogRateLimiter) -> None:
+    def __init__(self, rate_limiter: LogRateLimiter) -> None:
         self.num_by_prefix: Counter[str] = Counter()
-        self._lines = lines
+        self._rate_limiter = rate_limiter
         self._problems: OrderedDict[str, Problem] = OrderedDict()
 
     def record(self, prefix: str, key: str, problem: Problem) -> None:
-        """An entry was written that cannot be read."""
+        """Record an entry that cannot be decoded."""
         self.num_by_prefix[prefix] += 1
         if self._problems.get(key) == problem:
             return
@@ -35,10 +35,10 @@
         self._problems.move_to_end(key)
         if len(self._problems) > MAX_TRACKED_ENTRIES:
             self._problems.popitem(last=False)
-        if self._lines.allows():
-            num_left_out = self._lines.reset_suppressed()
-            logging.error("%s (%d such lines left out before)", problem, num_left_out)
+        if self._rate_limiter.allows():
+            num_suppressed = self._rate_limiter.reset_suppressed()
+            logging.error("%s (%d similar log lines suppressed before)", problem, num_suppressed)
 
     def forget(self, key: str) -> None:
-        """An entry can be read again, or is gone."""
+        """Forget the problem of an entry that is readable again or was removed."""
         self._problems.pop(key, None)
--- a/src/hollowrack/platform/worker_client.py
+++ b/src/hollowrack/platform/worker_client.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's workers: requests, reports and orders."""
+"""Client of the platform's workers: requests, reports and version orders."""
 
 import asyncio
 import contextlib
@@ -31,19 +31,18 @@
 from hollowrack.weights.version_reconciler import OrderOutcome, VersionOrder, WorkerReport
 
 CONNECT_TIMEOUT_S = 0.5
-# New connections to workers are paid for. Workers close idle ones after 10 s, by
-# their Keep-Alive headers; one that a worker has closed earlier is not used again.
+# New connections are billed. Below the 10 s after which workers close idle connections, as stated
+# in their Keep-Alive headers.
 IDLE_CONNECTION_TIMEOUT_S = 9.5
-# Callers that hang up and second attempts that win end a request to a sound worker as well. Only
-# one that was given this long, in seconds, is taken for silent: most answers begin sooner, and a
-# connection that is closed for nothing is paid for again.
+# A request cancelled earlier than this, by a client disconnect or a faster hedge, does not count as
+# a silent connection: closing healthy connections costs new ones.
 MIN_SILENCE_S = 0.5
 REPORT_TIMEOUT_S = 0.8
 ORDER_TIMEOUT_S = 0.8
 MS_PER_S = 1000
 ORDER_METHOD = "retain"
 
-_OF_ONE_CONNECTION = frozenset(
+_HOP_BY_HOP = frozenset(
     {
         "connection",
         "keep-alive",
@@ -56,8 +55,8 @@
         "expect",
     }
 )
-# What only the system tells a worker. From a caller they would name another tenant, go before
-# others in the worker's queue, or go on from what another request has left in its memory.
+# Headers that only the system sets. From a client they could name another tenant, jump the worker's
+# queue, or use the memory of another request.
 _SET_BY_SYSTEM = frozenset(
     name.lower()
     for name in (
@@ -74,10 +73,12 @@
         names.TENANT,
     )
 )
-_NOT_FORWARDED = _OF_ONE_CONNECTION | _SET_BY_SYSTEM
-_NOT_RETURNED = frozenset({"connection", "keep-alive", "transfer-encoding", "content-length"})
-# What reading another program's JSON may come to: a field is missing, or of another type or size.
-_UNREADABLE = (
+_NOT_FORWARDED = _HOP_BY_HOP | _SET_BY_SYSTEM
+_RESPONSE_HOP_BY_HOP = frozenset(
+    {"connection", "keep-alive", "transfer-encoding", "content-length"}
+)
+# Errors raised while decoding JSON of another program with missing or invalid fields.
+_DECODE_ERRORS = (
     ValueError,
     LookupError,
     TypeError,
@@ -89,23 +90,23 @@
 
 
 def forwarded_headers(headers: Sequence[tuple[str, str]], has_credentials: bool = False) -> Headers:
-    """Return a caller's headers as a worker may see them.
+    """Return the client's headers that may be forwarded to a worker.
 
-    Left out are those of the caller's connection, which its ``Connection`` header may extend, and
-    those that only the system sets.
+    Drops hop-by-hop headers, including those listed in ``Connection``, and headers that only the
+    system sets.
 
     Args:
-        headers: The caller's headers.
-        has_credentials: Whether credentials in them are meant for the system.
+        headers: Headers of the client.
+        has_credentials: Whether credentials in them belong to the system and must be dropped.
     """
-    left_out = _NOT_FORWARDED | _listed_of_connection(headers)
+    excluded = _NOT_FORWARDED | _connection_options(headers)
     if has_credentials:
-        left_out |= {names.CREDENTIALS.lower()}
-    return tuple((name, value) for name, value in headers if name.lower() not in left_out)
+        excluded |= {names.CREDENTIALS.lower()}
+    return tuple((name, value) for name, value in headers if name.lower() not in excluded)
 
 
-def _listed_of_connection(headers: Sequence[tuple[str, str]]) -> frozenset[str]:
-    """Names of the headers that a caller declares to be of its connection; never its host."""
+def _connection_options(headers: Sequence[tuple[str, str]]) -> frozenset[str]:
+    """Return the header names listed in ``Connection``, in lower case, without ``host``."""
     listed = {
         option.strip().lower()
         for name, value in headers
@@ -116,40 +117,40 @@
 
 
 def announced_version(event: StreamEvent) -> int | None:
-    """Return the weight version that an event announces, if it does."""
+    """Return the weight version announced by an event; ``None`` if it announces none."""
     value = event.fields.get(names.WEIGHT_VERSIONS_FIELD, "")
     return int(value) if value.isdigit() else None
 
 
 class _TrackedResponse(aiohttp.ClientResponse):
-    """A response that knows how its connection ended.
+    """HTTP response that records how its connection ended.
 
-    The client library takes an answer without a length for whole however its connection ends.
+    aiohttp treats a response without a length as complete even if its connection breaks.
     """
 
     _ended: asyncio.Future[None] | None = None
 
     async def start(self, connection: Connection) -> aiohttp.ClientResponse:
-        """Begin to read the answer; called by the client library."""
+        """Start reading the response; called by aiohttp."""
         if connection.protocol is not None:
             self._ended = connection.protocol.closed
         if self._ended is not None:
-            self._ended.add_done_callback(_retrieve_error)
+            self._ended.add_done_callback(_consume_exception)
         return await super().start(connection)
 
     def check_end(self) -> None:
-        """Check an answer that was read to its end.
+        """Check that a response that was read to its end is complete.
 
         Raises:
-            BrokenAnswerError: If it states no length and its connection broke.
+            BrokenAnswerError: If the response has no length and its connection broke.
         """
         if self.content_length is not None or "Transfer-Encoding" in self.headers:
             return
         if self._ended is None or (self._ended.done() and self._ended.exception() is not None):
-            raise BrokenAnswerError("the answer has no length and its connection broke")
+            raise BrokenAnswerError("response without a length: the connection broke")
 
 
-def _retrieve_error(ended: asyncio.Future[None]) -> None:
+def _consume_exception(ended: asyncio.Future[None]) -> None:
     if not ended.cancelled():
         ended.exception()
 
@@ -158,17 +159,22 @@
     """Return an HTTP session for workers.
 
     Args:
-        force_close: Whether every request has a connection of its own.
+        force_close: Whether to use a new connection for every request.
     """
     session = client_session(force_close, _TrackedResponse, IDLE_CONNECTION_TIMEOUT_S)
-    # The library would send a GET once more by itself when a kept connection breaks. Such a run is
-    # counted by nobody, and a worker that ended under the first one would pass for not reached.
+    # Prevents aiohttp from resending a GET when a reused connection breaks. The resend would not be
+    # counted as an attempt and would hide a crash of the worker.
     session._retry_connection = False
     return session
 
 
 class WorkerAnswer:
-    """An answer whose head has arrived; see :class:`OpenAnswer`."""
+    """Response whose headers have arrived; implements :class:`OpenAnswer`.
+
+    Args:
+        response: Response of aiohttp.
+        load_report: Load reported in the headers; ``None`` if there is none.
+    """
 
     def __init__(self, response: _TrackedResponse, load_report: LoadReport | None) -> None:
         self._response = response
@@ -177,7 +183,7 @@
         self.headers: Headers = tuple(
             (name, value)
             for name, value in response.headers.items()
-            if name.lower() not in _NOT_RETURNED
+            if name.lower() not in _RESPONSE_HOP_BY_HOP
         )
         self.signature = response.headers.get(names.SIGNATURE)
         version = response.headers.get(names.WEIGHT_VERSIONS, "")
@@ -188,7 +194,7 @@
         try:
             body = await self._response.read()
         except (aiohttp.ClientError, OSError) as error:
-            raise BrokenAnswerError(f"the answer ends early: {type(error).__name__}") from error
+            raise BrokenAnswerError(f"response ended early: {type(error).__name__}") from error
         self._response.check_end()
         return body
 
@@ -198,23 +204,23 @@
             async for chunk in self._response.content.iter_any():
                 yield chunk
         except (aiohttp.ClientError, OSError) as error:
-            raise BrokenAnswerError(f"the answer ends early: {type(error).__name__}") from error
+            raise BrokenAnswerError(f"response ended early: {type(error).__name__}") from error
         self._response.check_end()
 
     def abort(self) -> None:
-        """Close the connection, unless the answer was read whole."""
+        """Close the connection, unless the response was read completely."""
         self._response.close()
 
 
 class PlatformWorkers:
-    """Sends requests, reports and orders to workers.
+    """Client of workers: sends requests and version orders and reads reports.
 
     Args:
         session: HTTP session for repeatable requests, from :func:`worker_session`.
-        fresh_session: Another that never reuses a connection, for the others.
+        fresh_session: HTTP session for other requests, which never reuses a connection.
 
     Attributes:
-        load_reports: Decodes what workers tell of their load.
+        load_reports: Decoder of the load that workers report.
     """
 
     def __init__(
@@ -255,13 +261,13 @@
             response.close()
             raise
         if not isinstance(response, _TrackedResponse):
-            raise TypeError("the session is not one for workers")
-        told = response.headers.get(names.LOAD_REPORT)
-        return WorkerAnswer(response, self.load_reports.decode(told, worker.id))
+            raise TypeError("the session was not created by worker_session()")
+        load_value = response.headers.get(names.LOAD_REPORT)
+        return WorkerAnswer(response, self.load_reports.decode(load_value, worker.id))
 
     async def has_ended(self, worker: Worker) -> bool:
-        """Whether a life of a worker is over; see :class:`BackEndClient`."""
-        # A report tells which life answers; a connection tells only that something listens.
+        """Return whether an incarnation of a worker has ended; see :class:`BackEndClient`."""
+        # A report identifies the incarnation; a connection only shows that something listens.
         if worker.started_ms:
             report = await self.report(worker)
             if report is not None:
@@ -269,7 +275,7 @@
         return await _refuses_connections(worker)
 
     async def report(self, worker: Worker) -> WorkerReport | None:
-        """Read a worker's report."""
+        """Read a worker's report; ``None`` if it is unavailable or malformed."""
         try:
             status, body = await self._exchange(worker, "GET", names.REPORT_PATH, REPORT_TIMEOUT_S)
             if status != HTTPStatus.OK:
@@ -279,14 +285,14 @@
             return WorkerReport(num_orders, is_busy, versions, started_ms(body))
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             logging.info("worker %s: no report: %s", worker.incarnation, type(error).__name__)
-        except _UNREADABLE as error:
+        except _DECODE_ERRORS as error:
             logging.warning(
                 "worker %s: its report cannot be read: %s", worker.incarnation, type(error).__name__
             )
         return None
 
     async def send_order(self, order: VersionOrder) -> OrderOutcome:
-        """Give an order."""
+        """Send a version order to a worker."""
         body = {
             "op": "version",
             "model": order.move.model,
@@ -323,7 +329,7 @@
 
 
 async def _refuses_connections(worker: Worker) -> bool:
-    """Whether nothing listens at a worker's address; ``False`` if nothing can be told."""
+    """Return whether a worker's address refuses connections; ``False`` if that is unknown."""
     host, _, port = worker.address.rpartition(":")
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -354,21 +360,26 @@
 
 
 async def _check_answer(response: aiohttp.ClientResponse, request_id: str) -> None:
-    """Raise unless the answer is that of a worker which ran this request."""
+    """Check that the response is from a worker that ran this request.
+
+    Raises:
+        BrokenAnswerError: If the response names another request or none.
+        NotRunError: If the worker has been replaced or did not run the request.
+    """
     answered_id = response.headers.get(names.REQUEST_ID)
     if answered_id is not None and answered_id != request_id:
         raise BrokenAnswerError("the answer belongs to another request")
     if response.status == HTTPStatus.MISDIRECTED_REQUEST:
-        await _read_rest(response)
+        await _drain_body(response)
         raise NotRunError(NotRunReason.REPLACED)
     if response.headers.get(names.NOT_EXECUTED):
-        await _read_rest(response)
+        await _drain_body(response)
         raise NotRunError(NotRunReason.BUSY)
     if answered_id is None:
-        raise BrokenAnswerError("the answer names no request")
+        raise BrokenAnswerError("the response has no request identifier")
 
 
-async def _read_rest(response: aiohttp.ClientResponse) -> None:
-    """Read a short refusal whole, so that its connection can be kept."""
+async def _drain_body(response: aiohttp.ClientResponse) -> None:
+    """Read the body of a short refusal completely, so that the connection can be reused."""
     with contextlib.suppress(aiohttp.ClientError, OSError):
         await response.read()
--- a/src/hollowrack/platform/worker_entry.py
+++ b/src/hollowrack/platform/worker_entry.py
@@ -1,7 +1,7 @@
-"""What a worker writes of itself into the platform's store, checked as a whole.
+"""Schema and validation of the entries that workers register in the platform's store.
 
-The entry may come from another writer: whatever is missing, of another type or out of bounds makes
-all of it unusable. Fields that are not named here are left alone.
+An entry with a missing, mistyped or out-of-range field is rejected as a whole, because another
+writer may have written it. Unknown fields are ignored.
 """
 
 import ipaddress
@@ -12,28 +12,28 @@
 
 from hollowrack.platform import names
 
-# The longest key that the store takes, in bytes.
+# Maximum length of a key in the store.
 MAX_KEY_BYTES = 200
-# Requests go one at a time over a connection, and one address has no more connections to another.
+# Each request uses a connection, and two addresses cannot have more connections between them.
 MAX_CAPACITY = 65_535
 MAX_PORT = 65_535
-# The largest whole number that every writer of JSON keeps exactly.
+# Largest integer that every JSON implementation represents exactly.
 MAX_WHOLE_NUMBER = 2**53 - 1
-# Longest text of a field that is used, in characters: an address or a name in a log line.
+# Maximum length of a text field, in characters; names and addresses appear in log lines.
 MAX_TEXT_LENGTH = 200
 
-# An identity is sent to the worker in a header.
+# Identities are sent in an HTTP header.
 _IDENTITY = re.compile(r"[!-~]+")
 
 
 class WorkerEntryError(ValueError):
-    """An entry that names no worker; the text tells the field and what is wrong with it."""
+    """An entry is invalid; the message names the field and the reason."""
 
 
 def _address(value: str) -> str:
     host, separator, port = value.rpartition(":")
     if not separator or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-        raise ValueError("no port from 1 to 65535")
+        raise ValueError("the port must be from 1 to 65535")
     if host.startswith("[") and host.endswith("]"):
         ipaddress.IPv6Address(host[1:-1])
     else:
@@ -51,12 +51,12 @@
 
 
 class ModelEntry(_Section):
-    """One model that a worker holds.
+    """A model loaded by a worker.
 
     Attributes:
-        name: Its name.
-        version: Version of its weights.
-        adapters: What is loaded beside it; not used.
+        name: Name of the model.
+        version: Weight version.
+        adapters: Adapters loaded with the model; not used.
     """
 
     name: _Text
@@ -65,20 +65,21 @@
 
 
 class WorkerEntry(_Section):
-    """A worker's entry.
+    """Entry of a worker in the platform's store.
 
     Attributes:
-        service: Service it belongs to.
+        service: Name of the worker's service.
         address: ``IP:PORT``.
-        zone: Its zone.
-        capacity: Requests it works on at once.
-        state: Whether it takes new work.
-        models: The models it holds; ``None`` if it tells of none.
-        version: Version of its software; not used.
-        cold_remaining_ms: How much longer it is slow from its start, in milliseconds; not used.
-        sequence: Orders it has taken; not used.
-        stage: Which part of the work it does; not used.
-        started_ms: When this life of it began, in milliseconds since 1970; 0 if it does not tell.
+        zone: Zone of the worker.
+        capacity: Number of slots, which is the maximum number of concurrent requests.
+        state: Whether the worker accepts new requests.
+        models: Loaded models; ``None`` if not stated.
+        version: Software version; not used.
+        cold_remaining_ms: Remaining warm-up time, in milliseconds; not used.
+        sequence: Number of orders received; not used.
+        stage: Stage of the work that the worker does; not used.
+        started_ms: Start time of the incarnation, in milliseconds since the Unix epoch; 0 if not
+            stated.
     """
 
     service: _Text
@@ -87,7 +88,7 @@
     capacity: Annotated[int, Field(ge=1, le=MAX_CAPACITY)]
     state: Literal["ready", "draining"]
     models: list[ModelEntry] | None = None
-    # Their types are checked all the same: an entry that is wrong there is not a worker's.
+    # Unused fields are type-checked too, because an entry with wrong types is not from a worker.
     version: str | int | float | None = None
     cold_remaining_ms: float | None = Field(default=None, alias="cold-remaining-ms")
     sequence: _WholeNumber | None = None
@@ -96,31 +97,31 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether it takes no new work."""
+        """Whether the worker accepts no new requests."""
         return self.state == names.DRAINING
 
     @property
     def model_versions(self) -> dict[str, int]:
-        """Weight version of each model that it holds."""
+        """Weight version by model name."""
         return {model.name: model.version for model in self.models or ()}
 
 
 def check_worker_id(worker_id: str) -> str:
-    """Return a worker's identity, as the end of its key names it.
+    """Validate the worker identity at the end of a key and return it.
 
     Raises:
-        WorkerEntryError: If it cannot be an identity.
+        WorkerEntryError: If the identity is empty, too long or contains invalid characters.
     """
     if len(worker_id) > MAX_KEY_BYTES or not _IDENTITY.fullmatch(worker_id):
-        raise WorkerEntryError("key: its end is no identity of a worker")
+        raise WorkerEntryError("key: does not end in a valid worker identity")
     return worker_id
 
 
 def check_worker_entry(content: dict[str, Any]) -> WorkerEntry:
-    """Return a checked entry.
+    """Validate a worker's entry.
 
     Raises:
-        WorkerEntryError: If it names no worker.
+        WorkerEntryError: If the entry is invalid; names the first invalid field.
     """
     try:
         return WorkerEntry.model_validate(content)
