--- a/src/hollowrack/observability/logs.py
+++ b/src/hollowrack/observability/logs.py
@@ -105,7 +105,7 @@
             return
         if self.num_dropped:
             num_dropped, self.num_dropped = self.num_dropped, 0
-            logging.warning("%d log lines were dropped: nobody read them in time", num_dropped)
+            logging.warning("%d log lines were dropped: the log queue was full", num_dropped)
 
 
 def use_bounded_handler(max_queued: int = MAX_QUEUED_RECORDS) -> BoundedLogHandler:
--- a/src/hollowrack/platform/edge_process.py
+++ b/src/hollowrack/platform/edge_process.py
@@ -241,7 +241,9 @@
 
     def reload(self) -> None:
         """Re-read the settings file to log whether it is valid; nothing is applied."""
-        logging.info("settings read again: %s", type(read_process_settings()).__name__)
+        logging.info(
+            "settings file re-read, not applied: %s", type(read_process_settings()).__name__
+        )
 
     async def _complete_retirement(self, machine: str) -> bool:
         key, value = retirement_status(machine)
--- a/src/hollowrack/platform/load_report.py
+++ b/src/hollowrack/platform/load_report.py
@@ -39,7 +39,7 @@
             return LoadReport(int(figures[0]), int(figures[1]))
         if self.num_malformed % MALFORMED_PER_LOG_LINE == 0:
             logging.warning(
-                "worker %s: %s %r is ignored, %d before it; it should be counts joined by commas",
+                "worker %s: malformed %s %r ignored, %d before it; expected comma-separated counts",
                 worker_id,
                 names.LOAD_REPORT,
                 value[:80],
--- a/src/hollowrack/platform/worker_client.py
+++ b/src/hollowrack/platform/worker_client.py
@@ -284,10 +284,12 @@
             num_orders, is_busy = int(body["sequence"]), bool(body["busy"])
             return WorkerReport(num_orders, is_busy, versions, started_ms(body))
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            logging.info("worker %s: no report: %s", worker.incarnation, type(error).__name__)
+            logging.info(
+                "worker %s: report request failed: %s", worker.incarnation, type(error).__name__
+            )
         except _DECODE_ERRORS as error:
             logging.warning(
-                "worker %s: its report cannot be read: %s", worker.incarnation, type(error).__name__
+                "worker %s: malformed report: %s", worker.incarnation, type(error).__name__
             )
         return None
 
@@ -337,7 +339,7 @@
     except ConnectionRefusedError:
         return True
     except (OSError, ValueError) as error:
-        logging.info("worker %s: not known whether it listens: %s", worker.incarnation, error)
+        logging.info("worker %s: connection check failed: %s", worker.incarnation, error)
         return False
     writer.close()
     return False
