--- a/src/hollowrack/observability/edge_metrics.py
+++ b/src/hollowrack/observability/edge_metrics.py
@@ -151,7 +151,7 @@
         )
 
         sharing = self._node.slots
-        uses = {service: sharing.holder.usage(service) for service in sharing.shared_services()}
+        usages = {service: sharing.holder.usage(service) for service in sharing.shared_services()}
         descriptions = {
             "granted": "Slots of workers granted to this node",
             "used": "Requests of this node at workers whose slots are shared",
@@ -162,12 +162,12 @@
             name: GaugeMetricFamily(f"hollowrack_slots_{name}", description, labels=["service"])
             for name, description in descriptions.items()
         }
-        for service, use in uses.items():
-            gauges["granted"].add_metric([service], use.granted)
-            gauges["used"].add_metric([service], use.used)
-            gauges["contended"].add_metric([service], use.is_contended)
-            if use.grant_age_s is not None:
-                gauges["grant_age_seconds"].add_metric([service], use.grant_age_s)
+        for service, usage in usages.items():
+            gauges["granted"].add_metric([service], usage.granted)
+            gauges["used"].add_metric([service], usage.used)
+            gauges["contended"].add_metric([service], usage.is_contended)
+            if usage.grant_age_s is not None:
+                gauges["grant_age_seconds"].add_metric([service], usage.grant_age_s)
         yield from gauges.values()
         refused_messages = CounterMetricFamily(
             "hollowrack_slot_messages_refused", "By what they are", labels=["message"]
--- a/src/hollowrack/platform/edge_process.py
+++ b/src/hollowrack/platform/edge_process.py
@@ -149,8 +149,8 @@
         )
         self._store = store
         self._report_task = asyncio.create_task(self._report_calls())
-        self._suspension_watch = SuspensionMonitor(counts.add_suspended)
-        self._suspension_watch.start()
+        self._suspension_monitor = SuspensionMonitor(counts.add_suspended)
+        self._suspension_monitor.start()
         self._peers: HttpServer | None = None
         if settings.listen.control_plane:
             jobs = self.node.jobs
@@ -210,7 +210,7 @@
         # Requests in progress and owned jobs finish concurrently.
         await asyncio.gather(self._frontend.stop(), self.node.finish())
         await cancel_all(self._report_task)
-        await self._suspension_watch.stop()
+        await self._suspension_monitor.stop()
         await self._feed.stop()
         await self._readiness.stop()
         if self._peers is not None:
@@ -223,7 +223,7 @@
     async def kill(self) -> None:
         """Stop abruptly, as a crash would; for tests."""
         await cancel_all(self._report_task)
-        await self._suspension_watch.stop()
+        await self._suspension_monitor.stop()
         await self.node.abandon()
         await self._feed.stop()
         await self._frontend.abort()
