--- a/src/hollowrack/jobs/item_runner.py
+++ b/src/hollowrack/jobs/item_runner.py
@@ -167,7 +167,9 @@
             except ItemGivenUpError:
                 raise
             except Exception:
-                logging.exception("item %s of job %s: goes on", self._item.id, self._job.id)
+                logging.exception(
+                    "item %s of job %s: unexpected error, retrying", self._item.id, self._job.id
+                )
                 await asyncio.sleep(ERROR_RETRY_INTERVAL_S)
 
     async def _route_of(self, target: str) -> Route | None:
@@ -212,7 +214,7 @@
     async def _wait_in_quarantine(self) -> None:
         """Wait until the item may be sent to a worker again, unless its time limit ends first."""
         logging.warning(
-            "item %s of job %s: waits, too many workers ended under it",
+            "item %s of job %s: waits in quarantine, too many workers crashed while running it",
             self._item.id,
             self._job.id,
         )
@@ -302,8 +304,8 @@
             self.active_service = None
         self._record_generated(num_events_before, now_s() - started_s - run.queue_wait_s)
         logging.info(
-            "item %s of job %s: %d events (%d kept, %d tokens expected) by %d attempts in %.2f s, "
-            "%.2f s of it waiting: %s",
+            "item %s of job %s: %d events (%d resumed, %d tokens expected) by %d attempts "
+            "in %.2f s, %.2f s of it waiting: %s",
             self._item.id,
             self._job.id,
             len(self.events),
--- a/src/hollowrack/jobs/item_services.py
+++ b/src/hollowrack/jobs/item_services.py
@@ -23,10 +23,10 @@
 class GiveUpReason(Enum):
     """Reasons for giving an item up, which is final because a listed result cannot change."""
 
-    REJECTED = "a worker says that it can never be done"
-    FAILED_TOO_OFTEN = "workers failed it too often"
-    SCORER_FAILED_TOO_OFTEN = "its scorer failed too often"
-    ROUTE_ENDED = "its route has ended"
+    REJECTED = "a worker rejected it"
+    FAILED_TOO_OFTEN = "too many failed attempts at workers"
+    SCORER_FAILED_TOO_OFTEN = "too many failed requests to its scorer"
+    ROUTE_ENDED = "its route was removed"
     TIME_IS_UP = "its time is up"
 
 
--- a/src/hollowrack/jobs/job_intake.py
+++ b/src/hollowrack/jobs/job_intake.py
@@ -119,7 +119,7 @@
     async def _submit_to_peer(self, address: str, job: Job, timeout_s: float) -> Problem | None:
         peer_problem = await self._peers.submit(address, job, timeout_s)
         if peer_problem is None:
-            logging.info("job %s: handed to the node at %s", job.id, address)
+            logging.info("job %s: submitted to the node at %s", job.id, address)
         return peer_problem
 
     async def submit_here(self, job: Job) -> Problem | None:
--- a/src/hollowrack/jobs/job_log.py
+++ b/src/hollowrack/jobs/job_log.py
@@ -266,7 +266,7 @@
 
 def unreadable_record(job_id: str, error: ProblemError) -> Unknown:
     """Log an unreadable record of a job and return ``Unknown``."""
-    logging.error("job %s: a record of it cannot be read: %s", job_id, error.problem)
+    logging.error("job %s: unreadable record in the store: %s", job_id, error.problem)
     return Unknown("a stored record of the job is unreadable")
 
 
--- a/src/hollowrack/jobs/job_runner.py
+++ b/src/hollowrack/jobs/job_runner.py
@@ -210,7 +210,7 @@
         version = self.job.configuration_version
         if not self._services.routes.is_at_least(version):
             logging.warning(
-                "job %s: accepted under configuration %d, which is not known here yet (%s)",
+                "job %s: accepted under configuration %d, which this node has not received (%s)",
                 self.job.id,
                 version,
                 self._services.routes.describe(),
--- a/src/hollowrack/jobs/job_service.py
+++ b/src/hollowrack/jobs/job_service.py
@@ -141,7 +141,8 @@
         )
         self._runners[job.id] = runner
         logging.info(
-            "job %s: owned, %d items, %d listed, %d to be listed, %d events kept of %d others (%s)",
+            "job %s: owned, %d items, %d listed, %d to be listed, "
+            "%d saved events of %d other items (%s)",
             job.id,
             len(job.items),
             len(results),
@@ -263,7 +264,7 @@
         """
         runner = self._runners.get(job.job_id)
         if runner is not None:
-            logging.warning("job %s: belongs to %s now, left", job.job_id, job.owner)
+            logging.warning("job %s: now owned by %s, stopped on this node", job.job_id, job.owner)
             self._stop_lost_job(runner)
 
     def _stop_lost_job(self, runner: JobRunner) -> None:
@@ -327,7 +328,9 @@
                     outcome = "handed over" if is_done else "not handed over"
                     logging.info("job %s: %s to %s", runner.job.id, outcome, successor)
         except TimeoutError:
-            logging.warning("job %s: left, the store does not answer", runner.job.id)
+            logging.warning(
+                "job %s: not handed over, the store did not answer in time", runner.job.id
+            )
         await runner.stop()
 
     def _track_task(self, task: asyncio.Task[Any]) -> None:
--- a/src/hollowrack/jobs/peer_jobs.py
+++ b/src/hollowrack/jobs/peer_jobs.py
@@ -142,7 +142,9 @@
                 self._session, address, REMAINDER_PATH, request, REMAINDER_TIMEOUT_S
             )
         except (NodeUnreachableError, NodeSilentError) as error:
-            logging.info("job %s: its former owner at %s tells nothing: %s", job_id, address, error)
+            logging.info(
+                "job %s: no remainder from its former owner at %s: %s", job_id, address, error
+            )
             return JobRemainder()
         return answer if isinstance(answer, JobRemainder) else JobRemainder()
 
@@ -152,7 +154,9 @@
         try:
             page = await ask_node(self._session, address, READ_PATH, request, timeout_s)
         except (NodeUnreachableError, NodeSilentError) as error:
-            logging.info("job %s: not read at %s: %s", request.job_id, address, error)
+            logging.info(
+                "job %s: could not be read from its owner at %s: %s", request.job_id, address, error
+            )
             return None
         return page if isinstance(page, JobPage) and page.is_owner else None
 
--- a/src/hollowrack/jobs/retention.py
+++ b/src/hollowrack/jobs/retention.py
@@ -58,4 +58,6 @@
         for job_id in due[:MAX_REMOVED_PER_POLL]:
             if not await self._log.remove(job_id):
                 return
-            logging.info("job %s: removed, its end is over %g s old", job_id, self._keep_s)
+            logging.info(
+                "job %s: removed from the store, ended more than %g s ago", job_id, self._keep_s
+            )
--- a/src/hollowrack/jobs/takeover.py
+++ b/src/hollowrack/jobs/takeover.py
@@ -132,7 +132,7 @@
         try:
             await self._claim_and_load(job)
         except Exception:
-            logging.exception("job %s: not taken over now", job.job_id)
+            logging.exception("job %s: takeover failed, will be retried", job.job_id)
             self._next_scan_s = min(self._next_scan_s, now_s() + CLAIM_RETRY_INTERVAL_S)
 
     async def _claim_and_load(self, job: OpenJob) -> None:
