--- a/src/hollowrack/jobs/progress_saver.py
+++ b/src/hollowrack/jobs/progress_saver.py
@@ -17,6 +17,7 @@
 
 SAVE_INTERVAL_S = 1.5
 MIN_SLEEP_S = 0.05
+# Limits the number of calls to a failing store, which are billed.
 FAILURE_RETRY_INTERVAL_S = 4.0
 # Generating shorter texts again takes no longer than loading them.
 MIN_EVENTS_SAVED = 16
