--- a/src/hollowrack/forwarding/types.py
+++ b/src/hollowrack/forwarding/types.py
@@ -96,7 +96,7 @@
         name: Unique name.
         max_connections: Connections that one worker accepts from all clients together.
         models: Models loaded by its workers.
-        scaling: Autoscaling limits; ``None`` if the service is not autoscaled.
+        scaling: Limits of automatic scaling; ``None`` if the service has a fixed size.
     """
 
     name: str
