--- a/src/hollowrack/admission/controller.py
+++ b/src/hollowrack/admission/controller.py
@@ -14,12 +14,12 @@
 from hollowrack.routing.fleet import PoolLoad
 from hollowrack.tasks import cancel_all
 
-PUMP_INTERVAL_S = 0.02
+QUEUE_POLL_INTERVAL_S = 0.02
 SERVICE_TIME_SMOOTHING = 0.1
 INITIAL_SERVICE_TIME_S = 0.5
 # A queue longer than this share of the mean service time would cost the callers in it more than a
 # refusal with a time to come back.
-MAX_QUEUE_SHARE = 0.5
+MAX_WAIT_FRACTION = 0.5
 MIN_RETRY_AFTER_S = 0.2
 
 # Age of what load reports say by the time they are used: the engines' lag and the polling interval.
@@ -47,7 +47,7 @@
         self.history.append((now_s(), self.num_running))
         self._forget()
 
-    def num_added_lately(self) -> int:
+    def num_added_since_report(self) -> int:
         """Requests that this node added since the last reports were made."""
         self._forget()
         return max(0, self.num_running - self.history[0][1])
@@ -147,7 +147,7 @@
         if self._has_room(pool_name, pool) and not len(pool.queue):
             return Success(self._ticket(pool))
         expected_wait_s = self._expected_wait_s(pool_name, pool)
-        max_wait_s = MAX_QUEUE_SHARE * pool.mean_service_s
+        max_wait_s = MAX_WAIT_FRACTION * pool.mean_service_s
         if not may_queue or expected_wait_s > min(max_wait_s, deadline_s - now_s()):
             return Failure(_overloaded(pool_name, max(MIN_RETRY_AFTER_S, expected_wait_s)))
         waiter = _Waiter(min(deadline_s, now_s() + 2 * max_wait_s))
@@ -190,7 +190,7 @@
         this one. Without that, all nodes together fill the same room several times over.
         """
         num_others = max(0, self._num_nodes() - 1)
-        added_by_others = pool.num_added_lately() * num_others
+        added_by_others = pool.num_added_since_report() * num_others
         return max(load.num_live, pool.num_running) + added_by_others
 
     def _expected_wait_s(self, pool_name: str, pool: _Pool) -> float:
@@ -201,7 +201,7 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(PUMP_INTERVAL_S)
+            await asyncio.sleep(QUEUE_POLL_INTERVAL_S)
             for name, pool in self._pools.items():
                 self._pump(name, pool)
 
--- a/src/hollowrack/capacity/planner.py
+++ b/src/hollowrack/capacity/planner.py
@@ -7,7 +7,7 @@
 from hollowrack.forwarding.types import ScalingLimits, Service, Worker
 
 
-def plan_as_found(services: Iterable[Service], workers: Sequence[Worker]) -> CapacityPlan:
+def plan_current_workers(services: Iterable[Service], workers: Sequence[Worker]) -> CapacityPlan:
     """Return a plan that keeps the current number of workers, within each service's limits.
 
     Args:
--- a/src/hollowrack/capacity/reconciler.py
+++ b/src/hollowrack/capacity/reconciler.py
@@ -11,7 +11,7 @@
 
 from absl import logging
 
-from hollowrack.capacity.planner import orders_of, plan_as_found
+from hollowrack.capacity.planner import orders_of, plan_current_workers
 from hollowrack.capacity.types import CapacityClient, CapacityOrder, CapacityPlan
 from hollowrack.clock import now_s
 from hollowrack.coordination.duty import DutyHolder, DutyOutcome
@@ -25,9 +25,9 @@
 
 POLL_INTERVAL_S = 0.5
 # Workers write their entries about once per second, so all live ones have been seen by then.
-FIRST_LOOK_S = 2.0
+INITIAL_DELAY_S = 2.0
 # Repeats repair an order that was lost, or overwritten by a late older one.
-REPEAT_S = 10.0
+ORDER_REPEAT_INTERVAL_S = 10.0
 RETRY_INTERVAL_S = 1.0
 
 
@@ -86,12 +86,12 @@
             plan = self._record.value
             if plan is not None:
                 await self._order_plan(plan)
-            elif self._term.age_s >= FIRST_LOOK_S:
+            elif self._term.age_s >= INITIAL_DELAY_S:
                 await self._decide()
 
     async def _decide(self) -> None:
         available = [worker for worker in self._workers.all() if not worker.is_leaving]
-        plan = plan_as_found(self._services(), available)
+        plan = plan_current_workers(self._services(), available)
         if plan.zones and await self._record.ensure_current():
             is_decided = await self._record.replace(plan)
             logging.info("capacity: %s %s", plan, "decided" if is_decided else "not decided")
@@ -106,4 +106,6 @@
             outcome = await self._client.order_capacity(DutyHolder(self._node, token), order)
             is_accepted = outcome is DutyOutcome.ACCEPTED
             logging.info("capacity: %s: %s", order, outcome.value)
-            self._next_order_s[order] = now_s() + (REPEAT_S if is_accepted else RETRY_INTERVAL_S)
+            self._next_order_s[order] = now_s() + (
+                ORDER_REPEAT_INTERVAL_S if is_accepted else RETRY_INTERVAL_S
+            )
--- a/src/hollowrack/coordination/duty.py
+++ b/src/hollowrack/coordination/duty.py
@@ -8,7 +8,7 @@
     """Outcome of a duty call."""
 
     ACCEPTED = "accepted"
-    UNAVAILABLE_HERE = "currently unavailable"
+    UNAVAILABLE = "currently unavailable"
     THROTTLED = "throttled"
     REFUSED = "refused"
     UNKNOWN = "no answer"
--- a/src/hollowrack/coordination/leadership.py
+++ b/src/hollowrack/coordination/leadership.py
@@ -28,7 +28,7 @@
 )
 from hollowrack.tasks import cancel_all
 
-CAMPAIGN_PAUSE_S = 0.3
+CAMPAIGN_RETRY_INTERVAL_S = 0.3
 CAMPAIGN_JITTER_S = 0.1
 # An order sent now must arrive before the session can expire.
 ACTION_MARGIN_S = 0.5
@@ -176,7 +176,7 @@
                 )
             if self._is_free.is_set() and self._session.is_valid:
                 await self._campaign()
-            await asyncio.sleep(CAMPAIGN_PAUSE_S)
+            await asyncio.sleep(CAMPAIGN_RETRY_INTERVAL_S)
 
     def _campaign_delay_s(self) -> float:
         """Delay before campaigning, in seconds; it grows with the age of the process.
--- a/src/hollowrack/coordination/machine_retirement.py
+++ b/src/hollowrack/coordination/machine_retirement.py
@@ -37,7 +37,7 @@
         """Stop confirming requests."""
         await cancel_all(self._task)
 
-    def ask(self, machine: str) -> None:
+    def request(self, machine: str) -> None:
         """Record that the operators want to retire a machine."""
         self._requested.add(machine)
 
--- a/src/hollowrack/coordination/relay.py
+++ b/src/hollowrack/coordination/relay.py
@@ -45,8 +45,8 @@
 LEASE_CALL_TIMEOUT_S = 0.5
 MAX_NODES_ASKED = 2
 # Backoff of relaying after a failed attempt.
-FIRST_RELAY_PAUSE_S = 0.5
-MAX_RELAY_PAUSE_S = 4.0
+INITIAL_RELAY_BACKOFF_S = 0.5
+MAX_RELAY_BACKOFF_S = 4.0
 # Time for which a node that failed to relay is not asked again.
 NODE_RETRY_INTERVAL_S = 2.0
 
@@ -187,7 +187,7 @@
         self._relay_first_backoff = Backoff(FIRST_RELAY_PERIOD_S, MAX_RELAY_PERIOD_S, rng)
         self._retry_relay_from_s = -float("inf")
         self._retry_node_from_s: dict[str, float] = {}
-        self._relay_backoff = Backoff(FIRST_RELAY_PAUSE_S, MAX_RELAY_PAUSE_S, rng)
+        self._relay_backoff = Backoff(INITIAL_RELAY_BACKOFF_S, MAX_RELAY_BACKOFF_S, rng)
         self.direct_failure_listeners: list[Callable[[], None]] = []
 
     async def get(self, key: str) -> StoredItem | Unavailable | None:
--- a/src/hollowrack/edge_node.py
+++ b/src/hollowrack/edge_node.py
@@ -51,20 +51,20 @@
 from hollowrack.usage.types import ProcessCounts
 from hollowrack.weights.version_reconciler import VersionReconciler
 
-LIVE_PACE_S = 0.2
-LIVE_WAIT_S = 5.0
-REGISTER_PAUSE_S = 0.2
+LIVE_POLL_INTERVAL_S = 0.2
+LIVE_WATCH_TIMEOUT_S = 5.0
+REGISTER_RETRY_INTERVAL_S = 0.2
 # Announced by a process that is stopping, so that it gets no further jobs.
 NO_CORES = 0.0
 ANNOUNCE_TIMEOUT_S = 0.5
 # Time for callers to switch to other nodes at a planned stop.
-MAX_TURN_AWAY_S = 3.5
-TURN_AWAY_SHARE = 0.45
+MAX_REFUSE_NEW_S = 3.5
+REFUSE_NEW_FRACTION = 0.45
 # Longer, as the output of unfinished items is lost.
-MAX_FINISH_S = 10.0
-FINISH_SHARE = 0.65
-MAX_HAND_OVER_S = 0.6
-HAND_OVER_SHARE = 0.1
+MAX_DRAIN_S = 10.0
+DRAIN_FRACTION = 0.65
+MAX_HANDOVER_S = 0.6
+HANDOVER_FRACTION = 0.1
 
 
 class EdgeNode:
@@ -161,9 +161,9 @@
             self.shared_store,
             LIVE_PREFIX,
             self._on_live_change,
-            LIVE_PACE_S,
+            LIVE_POLL_INTERVAL_S,
             rng,
-            LIVE_WAIT_S,
+            LIVE_WATCH_TIMEOUT_S,
             has_sentinel=True,
         )
         num_hosts = num_hosts_per_zone(connections.max_change_delay_s)
@@ -265,7 +265,7 @@
             asyncio.create_task(self._load_log.run()),
         ]
 
-    async def turn_away(self, grace_s: float) -> None:
+    async def begin_stop(self, grace_s: float) -> None:
         """Begin a planned stop: report not ready, resign, and wait for callers to switch nodes.
 
         Owned jobs go on; :meth:`finish` drains them.
@@ -286,12 +286,12 @@
         await self._retirement.stop()
         await self.leadership.resign()
         await self._announce_stop()
-        turn_away_s = min(MAX_TURN_AWAY_S, TURN_AWAY_SHARE * grace_s)
+        turn_away_s = min(MAX_REFUSE_NEW_S, REFUSE_NEW_FRACTION * grace_s)
         await asyncio.sleep(max(0.0, started_s + turn_away_s - now_s()))
-        self._drain_deadline_s = started_s + min(MAX_FINISH_S, FINISH_SHARE * grace_s)
-        self._hand_over_s = min(MAX_HAND_OVER_S, HAND_OVER_SHARE * grace_s)
+        self._drain_deadline_s = started_s + min(MAX_DRAIN_S, DRAIN_FRACTION * grace_s)
+        self._hand_over_s = min(MAX_HANDOVER_S, HANDOVER_FRACTION * grace_s)
 
-    async def finish(self) -> None:
+    async def complete_stop(self) -> None:
         """Complete a planned stop: drain owned jobs until their deadline, then release them."""
         await self.jobs.drain(self._drain_deadline_s - now_s(), self._hand_over_s)
         await self._leader_duties.stop()
@@ -358,7 +358,7 @@
 
     def retirement_requested(self, node: str) -> None:
         """Record that the operators want to retire a machine."""
-        self._retirement.ask(node)
+        self._retirement.request(node)
 
     def receive_usage(self, counts: ProcessCounts) -> None:
         """Merge usage counts from another node."""
@@ -381,7 +381,7 @@
             elif await self._register(lease):
                 registered_lease = lease
             else:
-                await asyncio.sleep(REGISTER_PAUSE_S)
+                await asyncio.sleep(REGISTER_RETRY_INTERVAL_S)
 
     async def _announce_stop(self) -> None:
         """Announce that this node takes no further jobs, if the store answers in time."""
--- a/src/hollowrack/forwarding/call_limiter.py
+++ b/src/hollowrack/forwarding/call_limiter.py
@@ -15,7 +15,7 @@
 from hollowrack.forwarding.workers import WorkerDirectory
 
 # Fraction of a worker's slots that the calls of one node may use.
-CALL_SHARE = 1.0 / 3.0
+MAX_SLOT_FRACTION = 1.0 / 3.0
 
 _Services = tuple[str, ...]
 
@@ -87,7 +87,7 @@
 
     def _has_free_slot(self, services: _Services) -> bool:
         num_slots = sum(
-            ceil(CALL_SHARE * worker.capacity)
+            ceil(MAX_SLOT_FRACTION * worker.capacity)
             for service in services
             for worker in self._workers.serving(service)
         )
--- a/src/hollowrack/forwarding/dispatch_queue.py
+++ b/src/hollowrack/forwarding/dispatch_queue.py
@@ -104,7 +104,7 @@
     def _has_free_slot(self, service: str, is_eligible: Eligible) -> bool:
         key = (service, is_eligible)
         if key not in self._slots_available:
-            self._slots_available[key] = self._workers.has_room(*key, self._limits.limit)
+            self._slots_available[key] = self._workers.has_free_slot(*key, self._limits.limit)
         return self._slots_available[key]
 
     def _search(self, waiter: _Waiter, avoided: frozenset[WorkerIncarnation]) -> Worker | None:
--- a/src/hollowrack/forwarding/dispatch_rank.py
+++ b/src/hollowrack/forwarding/dispatch_rank.py
@@ -34,8 +34,8 @@
         sequence: Number of the job on this node; of jobs with the same due time the earlier one
             goes first.
         group_rank: Rank of the item's group within its job.
-        minus_tokens_left: Expected number of remaining tokens, negated: the longest item of a group
-            starts first.
+        negated_tokens_left: Expected number of remaining tokens, negated: the longest item of a
+            group starts first.
     """
 
     priority: int
@@ -44,4 +44,4 @@
     due_s: float = NEVER_DUE_S
     sequence: int = 0
     group_rank: int = 0
-    minus_tokens_left: int = 0
+    negated_tokens_left: int = 0
--- a/src/hollowrack/forwarding/forwarder.py
+++ b/src/hollowrack/forwarding/forwarder.py
@@ -34,7 +34,7 @@
 from hollowrack.results import Problem
 from hollowrack.usage.meter import UsageMeter
 
-REFUSAL_PAUSE_S = 0.05
+REFUSAL_BACKOFF_S = 0.05
 HTTP_SUCCESS = range(200, 300)
 FIRST_SERVER_ERROR = 500
 
@@ -127,7 +127,7 @@
         )
         if refused is not None:
             return refused
-        self.hedging.budget.note_request()
+        self.hedging.budget.record_request()
         attempts = _PlainAttempts(
             self._workers,
             self._back_ends,
@@ -206,7 +206,7 @@
 
     def spend_hedge_budget(self) -> bool:
         """Take one hedged attempt from the budget; return whether the budget allowed it."""
-        is_allowed = self._hedging.budget.take_retry()
+        is_allowed = self._hedging.budget.spend_retry()
         decision = "started" if is_allowed else "denied, budget exhausted"
         logging.info("request %s: hedged attempt %s", self._call.request_id, decision)
         return is_allowed
@@ -251,7 +251,7 @@
             self._workers.record_not_run(worker, error.reason)
             self.history.record_not_run(worker, error.reason)
             if error.reason is NotRunReason.BUSY:
-                await asyncio.sleep(REFUSAL_PAUSE_S)
+                await asyncio.sleep(REFUSAL_BACKOFF_S)
             return None
         except BrokenAnswerError as error:
             self._workers.record_failure(worker)
--- a/src/hollowrack/forwarding/hedged_run.py
+++ b/src/hollowrack/forwarding/hedged_run.py
@@ -5,7 +5,7 @@
 from typing import Generic, Protocol, TypeVar
 
 from hollowrack.clock import now_s
-from hollowrack.forwarding.hedging import GIVE_UP_SHARE
+from hollowrack.forwarding.hedging import ABANDON_FRACTION
 from hollowrack.forwarding.types import Worker
 from hollowrack.tasks import cancel_all
 
@@ -117,7 +117,7 @@
         if spare is not None and self._source.spend_hedge_budget():
             self._start(spare)
             return
-        abandon_s = latest.started_s + GIVE_UP_SHARE * (self._deadline_s - latest.started_s)
+        abandon_s = latest.started_s + ABANDON_FRACTION * (self._deadline_s - latest.started_s)
         if now_s() < abandon_s:
             self._next_check_s = abandon_s
             return
--- a/src/hollowrack/forwarding/hedging.py
+++ b/src/hollowrack/forwarding/hedging.py
@@ -7,23 +7,23 @@
 from collections import deque
 from math import ceil
 
-from hollowrack.requests.budget import RetryBudget
+from hollowrack.requests.retry_budget import RetryBudget
 
 # Quantile of the latencies of a service from which on an attempt is late.
 LATE_QUANTILE = 0.95
 # Latencies kept per service.
-NUM_ANSWERS_KEPT = 64
+WINDOW_SIZE = 64
 # Latencies needed before the quantile is used.
-MIN_ANSWERS_KNOWN = 8
+MIN_SAMPLES = 8
 # Hedged attempts as a fraction of requests; bounds the additional load.
-HEDGE_SHARE = 0.1
+HEDGE_FRACTION = 0.1
 # Burst size of the hedge budget, so that a node with few requests can hedge at all.
-MAX_SAVED_HEDGES = 3.0
+MAX_HEDGE_BURST = 3.0
 # Delay until there are enough latencies: a multiple of the target latency, and its lower bound.
-UNKNOWN_DELAY_IN_TARGETS = 1.5
-MIN_UNKNOWN_DELAY_S = 0.25
+DEFAULT_DELAY_FACTOR = 1.5
+MIN_DEFAULT_DELAY_S = 0.25
 # Fraction of the remaining time after which a late attempt is replaced if it cannot be hedged.
-GIVE_UP_SHARE = 0.5
+ABANDON_FRACTION = 0.5
 
 
 class HedgePolicy:
@@ -34,12 +34,12 @@
     """
 
     def __init__(self) -> None:
-        self.budget = RetryBudget(HEDGE_SHARE, MAX_SAVED_HEDGES)
+        self.budget = RetryBudget(HEDGE_FRACTION, MAX_HEDGE_BURST)
         self._latencies_s: dict[str, deque[float]] = {}
 
     def record_answer(self, service: str, seconds: float) -> None:
         """Record the latency of a complete answer from a worker of a service, in seconds."""
-        latencies_s = self._latencies_s.setdefault(service, deque(maxlen=NUM_ANSWERS_KEPT))
+        latencies_s = self._latencies_s.setdefault(service, deque(maxlen=WINDOW_SIZE))
         latencies_s.append(seconds)
 
     def delay_s(self, service: str, target_latency_s: float, time_left_s: float) -> float:
@@ -51,11 +51,11 @@
             time_left_s: Time between the start of the attempt and the deadline, in seconds.
         """
         latencies_s = self._latencies_s.get(service, ())
-        if len(latencies_s) < MIN_ANSWERS_KNOWN:
-            delay_s = max(MIN_UNKNOWN_DELAY_S, UNKNOWN_DELAY_IN_TARGETS * target_latency_s)
+        if len(latencies_s) < MIN_SAMPLES:
+            delay_s = max(MIN_DEFAULT_DELAY_S, DEFAULT_DELAY_FACTOR * target_latency_s)
         else:
             delay_s = max(target_latency_s, _quantile(sorted(latencies_s), LATE_QUANTILE))
-        return min(delay_s, GIVE_UP_SHARE * time_left_s)
+        return min(delay_s, ABANDON_FRACTION * time_left_s)
 
 
 def _quantile(values: list[float], fraction: float) -> float:
--- a/src/hollowrack/forwarding/load_log.py
+++ b/src/hollowrack/forwarding/load_log.py
@@ -9,7 +9,7 @@
 from hollowrack.forwarding.dispatch_queue import DispatchQueue, WaitingLoad
 
 # Short compared with the few seconds within which results are due.
-INTERVAL_S = 1.0
+LOG_INTERVAL_S = 1.0
 
 _NO_LOAD = WaitingLoad(0, 0.0)
 
@@ -28,7 +28,7 @@
     async def run(self) -> None:
         """Log the load periodically until cancelled."""
         while True:
-            await asyncio.sleep(INTERVAL_S)
+            await asyncio.sleep(LOG_INTERVAL_S)
             for line in self.next_lines():
                 logging.info("%s", line)
 
--- a/src/hollowrack/forwarding/load_shedding.py
+++ b/src/hollowrack/forwarding/load_shedding.py
@@ -13,7 +13,7 @@
 from hollowrack.results import Problem, ResultCode
 
 # Upper bound of the random factor that spreads retries.
-MAX_JITTER = 1.5
+MAX_JITTER_FACTOR = 1.5
 # About the duration of a few requests.
 MIN_RETRY_AFTER_S = 0.1
 # The length of the queue cannot be predicted beyond this time.
@@ -43,12 +43,14 @@
             service: Service that would run it.
             time_left_s: Time until the caller's deadline, in seconds.
         """
-        latency_s = self._workers.soonest_answer_s(service, route.name)
+        latency_s = self._workers.lowest_expected_latency_s(service, route.name)
         if latency_s is None or latency_s <= time_left_s:
             return None
         # By then the queue is short enough for an answer within the target latency.
         min_delay_s = max(MIN_RETRY_AFTER_S, latency_s - route.target_latency_s)
-        retry_after_s = min(MAX_RETRY_AFTER_S, min_delay_s * self._rng.uniform(1.0, MAX_JITTER))
+        retry_after_s = min(
+            MAX_RETRY_AFTER_S, min_delay_s * self._rng.uniform(1.0, MAX_JITTER_FACTOR)
+        )
         detail = f"{service}: expected latency {latency_s:.2f} s, time left {time_left_s:.2f} s"
         logging.info("request %s refused by load shedding: %s", request_id, detail)
         return Problem(ResultCode.OVERLOADED, detail, request_id, round(retry_after_s, 2))
--- a/src/hollowrack/forwarding/resumable_run.py
+++ b/src/hollowrack/forwarding/resumable_run.py
@@ -31,7 +31,7 @@
 HTTP_OK = 200
 HTTP_UNPROCESSABLE = 422
 FIRST_SERVER_ERROR = 500
-MIN_PAUSE_S = 0.02
+RETRY_INTERVAL_S = 0.02
 # Bounds on how often a run migrates to a faster worker or leaves a much slower one.
 MIN_EVENTS_BEFORE_MIGRATION = 6
 EVENTS_BETWEEN_MIGRATION_CHECKS = 3
@@ -222,7 +222,7 @@
                 self.waits.record_end()
                 self._release(worker)
             self._avoided = frozenset({worker.incarnation})
-            await asyncio.sleep(MIN_PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def _next_allowed_worker(self) -> Worker:
         """Wait for a slot at a worker where the quarantine allows the run.
@@ -239,7 +239,7 @@
                 placement.begin(self._fingerprint, worker.incarnation)
                 return worker
             self._workers.release_slot(worker)
-            await asyncio.sleep(MIN_PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
     def _release(self, worker: Worker) -> None:
         self._quarantine.suspect_placement.end(self._fingerprint, worker.incarnation)
@@ -260,7 +260,7 @@
                 return target
             self._workers.release_slot(target)
         wait_start_s = now_s()
-        condition = self._may_begin if self._retry_policy.are_restricted else None
+        condition = self._may_begin if self._retry_policy.is_restricted else None
         worker = await self._acquire(self._avoided, condition)
         self.queue_wait_s += now_s() - wait_start_s
         return worker
--- a/src/hollowrack/forwarding/run_retry_policy.py
+++ b/src/hollowrack/forwarding/run_retry_policy.py
@@ -46,7 +46,7 @@
         self._retry_others_from_s = -float("inf")
 
     @property
-    def are_restricted(self) -> bool:
+    def is_restricted(self) -> bool:
         """Whether there may be workers at which the run may not start now."""
         if self._failed_at:
             return True
--- a/src/hollowrack/forwarding/run_waits.py
+++ b/src/hollowrack/forwarding/run_waits.py
@@ -9,7 +9,7 @@
 from hollowrack.forwarding.types import WorkerIncarnation
 
 # Bounds the length of the log line of a run that is refused repeatedly.
-MAX_ATTEMPTS_TOLD = 6
+MAX_ATTEMPTS_LOGGED = 6
 
 
 @dataclass
@@ -52,7 +52,7 @@
     def __init__(self, service: str, statistics: DispatchStatistics) -> None:
         self._service = service
         self._statistics = statistics
-        self._attempts: deque[_Attempt] = deque(maxlen=MAX_ATTEMPTS_TOLD)
+        self._attempts: deque[_Attempt] = deque(maxlen=MAX_ATTEMPTS_LOGGED)
         self._num_attempts = 0
         self._num_refusals = 0
         self._is_at_worker = False
--- a/src/hollowrack/forwarding/worker_event_intervals.py
+++ b/src/hollowrack/forwarding/worker_event_intervals.py
@@ -14,20 +14,20 @@
 from hollowrack.forwarding.types import Worker, WorkerIncarnation
 
 # Intervals kept per worker, and the number of events between updates of their median.
-NUM_PACES_KEPT = 64
-NUM_PACES_BETWEEN_MEDIANS = 8
+WINDOW_SIZE = 64
+EVENTS_BETWEEN_MEDIANS = 8
 # Time constant of the decay of recent slowness, so that a slow worker is tried again.
-PACE_FADE_S = 6.0
+SLOWNESS_DECAY_TIME_S = 6.0
 # Smaller factors are treated as noise.
 MIN_SLOWNESS = 1.3
 # Slowness from which on runs leave a worker.
 MUCH_SLOWER = 2.5
 # Time constant of the decay of the slowness used to place runs.
-PLACING_FADE_S = 30.0
+PLACEMENT_DECAY_TIME_S = 30.0
 # Smaller factors are treated as noise when runs are placed.
-MIN_PLACING_SLOWNESS = 1.1
+MIN_PLACEMENT_SLOWNESS = 1.1
 # Lower bound of intervals that are divided by.
-MIN_PACE_S = 0.001
+MIN_INTERVAL_S = 0.001
 MAX_SLOWNESS = 10.0
 
 
@@ -42,7 +42,7 @@
         recorded_s: When the latest interval was recorded, on the loop's clock.
     """
 
-    intervals_s: deque[float] = field(default_factory=lambda: deque(maxlen=NUM_PACES_KEPT))
+    intervals_s: deque[float] = field(default_factory=lambda: deque(maxlen=WINDOW_SIZE))
     num_recorded: int = 0
     median_s: float | None = None
     recorded_s: float = 0.0
@@ -66,7 +66,7 @@
         stats.intervals_s.append(seconds)
         stats.recorded_s = now_s()
         stats.num_recorded += 1
-        if stats.num_recorded % NUM_PACES_BETWEEN_MEDIANS == 0:
+        if stats.num_recorded % EVENTS_BETWEEN_MEDIANS == 0:
             # Unlike the mean, the median ignores short stalls, such as the loading of weights.
             stats.median_s = median(stats.intervals_s)
             self._best_intervals_s.clear()
@@ -81,11 +81,11 @@
 
     def is_much_slower(self, worker: Worker) -> bool:
         """Whether a worker has recently been much slower than the fastest of its service."""
-        return self._slowness(worker, PACE_FADE_S, MIN_SLOWNESS) >= MUCH_SLOWER
+        return self._slowness(worker, SLOWNESS_DECAY_TIME_S, MIN_SLOWNESS) >= MUCH_SLOWER
 
     def placement_slowness(self, worker: Worker) -> float:
         """Return a worker's interval as a multiple of the best of its service."""
-        return self._slowness(worker, PLACING_FADE_S, MIN_PLACING_SLOWNESS)
+        return self._slowness(worker, PLACEMENT_DECAY_TIME_S, MIN_PLACEMENT_SLOWNESS)
 
     def time_saved_s(self, worker: Worker, other: Worker | None, num_units: float) -> float:
         """Return the time saved by moving work to another worker, in seconds.
@@ -106,7 +106,7 @@
         stats = self._intervals.get(worker.incarnation)
         if stats is None or stats.median_s is None:
             return 1.0
-        best_s = max(self._best_interval_s(worker.service), MIN_PACE_S)
+        best_s = max(self._best_interval_s(worker.service), MIN_INTERVAL_S)
         ratio = max(1.0, min(MAX_SLOWNESS, stats.median_s / best_s))
         decay = math.exp(-(now_s() - stats.recorded_s) / decay_s)
         slowness = 1.0 + (ratio - 1.0) * decay
--- a/src/hollowrack/forwarding/worker_load.py
+++ b/src/hollowrack/forwarding/worker_load.py
@@ -16,13 +16,13 @@
 
 # Time constant of the exponential decay of slowness and penalties. A worker that is avoided gets no
 # requests that could show its recovery, so old observations have to expire.
-FADE_S = 6.0
+DECAY_TIME_S = 6.0
 # Weight of the latest answer in a worker's slowness.
-ANSWER_SHARE = 0.3
+ANSWER_WEIGHT = 0.3
 # Weight of a late request, which is stronger evidence than a single answer.
 LATE_FRACTION = 0.7
 # Weight of the latest answer in the typical latency of a route; the first answers weigh equally.
-USUAL_TIME_SHARE = 0.05
+ROUTE_LATENCY_WEIGHT = 0.05
 # Smaller factors are treated as noise.
 MIN_FACTOR = 1.3
 # Bounds the effect of a single outlier, such as a suspended process or a cached answer.
@@ -30,15 +30,15 @@
 # Slowness assumed of a worker that has just failed.
 FAILURE_PENALTY = 2.5
 # Time constant of the decay of load reports, about the latency of a plain request.
-REPORT_FADE_S = 0.1
+REPORT_DECAY_TIME_S = 0.1
 # Cost of a worker in another zone: higher latency and metered traffic.
 REMOTE_FACTOR = 1.25
 # Expected latencies within this factor count as equal.
-NEARLY_EQUAL = 1.05
+EQUALITY_FACTOR = 1.05
 # Routes whose typical latency is kept; the least recently used are evicted.
 MAX_ROUTES = 64
 # Lower bound of latencies, since their logarithm is taken.
-MIN_TIME_S = 0.001
+MIN_LATENCY_S = 0.001
 
 
 class _DecayingFactor:
@@ -62,7 +62,7 @@
         self._updated_s = now_s()
 
     def _decayed_log(self) -> float:
-        return self._log * math.exp(-(now_s() - self._updated_s) / FADE_S)
+        return self._log * math.exp(-(now_s() - self._updated_s) / DECAY_TIME_S)
 
 
 @dataclass
@@ -91,7 +91,7 @@
 
     def record(self, log_s: float) -> None:
         self.num_answers += 1
-        share = max(USUAL_TIME_SHARE, 1.0 / self.num_answers)
+        share = max(ROUTE_LATENCY_WEIGHT, 1.0 / self.num_answers)
         self.log_s += share * (log_s - self.log_s)
 
 
@@ -130,7 +130,7 @@
             route: Name of the route; latencies are compared within one route only.
             seconds: Latency in seconds.
         """
-        log_s = math.log(max(MIN_TIME_S, seconds))
+        log_s = math.log(max(MIN_LATENCY_S, seconds))
         key = (worker.service, route)
         route_latency = self._route_latencies.setdefault(key, _RouteLatency())
         route_latency.record(log_s)
@@ -138,8 +138,8 @@
         if len(self._route_latencies) > MAX_ROUTES:
             self._route_latencies.popitem(last=False)
         stats = self._stats_of(worker)
-        stats.slowness.update(math.exp(log_s - route_latency.log_s), ANSWER_SHARE)
-        stats.penalty.update(1.0, ANSWER_SHARE)
+        stats.slowness.update(math.exp(log_s - route_latency.log_s), ANSWER_WEIGHT)
+        stats.penalty.update(1.0, ANSWER_WEIGHT)
 
     def record_late(self, worker: Worker, route: str, seconds: float) -> None:
         """Record that a worker has not answered a request after so many seconds."""
@@ -171,7 +171,7 @@
         latencies = [self._relative_latency(worker) for worker in workers]
         first = self._draw(latencies, None)
         second = self._draw(latencies, first)
-        is_better = latencies[second] * NEARLY_EQUAL < latencies[first]
+        is_better = latencies[second] * EQUALITY_FACTOR < latencies[first]
         return workers[second if is_better else first]
 
     def _local_unless_slower(self, workers: Sequence[Worker]) -> Sequence[Worker]:
@@ -185,13 +185,13 @@
 
     def is_sooner(self, worker: Worker, other: Worker) -> bool:
         """Whether a worker is expected to answer clearly sooner than another one."""
-        return self._relative_latency(worker) * NEARLY_EQUAL < self._relative_latency(other)
+        return self._relative_latency(worker) * EQUALITY_FACTOR < self._relative_latency(other)
 
-    def has_room(self, worker: Worker) -> bool:
+    def has_free_slot(self, worker: Worker) -> bool:
         """Whether a worker has a free slot, as far as this node knows."""
         return self._num_requests(worker) < worker.capacity
 
-    def expected_time_s(self, worker: Worker, route: str) -> float | None:
+    def expected_latency_s(self, worker: Worker, route: str) -> float | None:
         """Return the expected latency of a request sent now, including the wait for a slot.
 
         Returns:
@@ -225,7 +225,7 @@
         stats = self._stats.get(worker.incarnation)
         if stats is None:
             return num_own
-        decay = math.exp(-(now_s() - stats.report_received_s) / REPORT_FADE_S)
+        decay = math.exp(-(now_s() - stats.report_received_s) / REPORT_DECAY_TIME_S)
         return num_own + stats.num_other_requests * decay
 
     def _stats_of(self, worker: Worker) -> _WorkerStats:
--- a/src/hollowrack/forwarding/workers.py
+++ b/src/hollowrack/forwarding/workers.py
@@ -12,14 +12,14 @@
 from hollowrack.forwarding.worker_event_intervals import WorkerEventIntervals
 from hollowrack.forwarding.worker_load import WorkerLoads
 
-BUSY_PAUSE_S = 0.06
-MAX_BUSY_PAUSE_S = 0.24
-UNREACHABLE_PAUSE_S = 0.5
-MAX_UNREACHABLE_PAUSE_S = 4.0
-FAILURE_PAUSE_S = 0.15
+BUSY_BACKOFF_S = 0.06
+MAX_BUSY_BACKOFF_S = 0.24
+UNREACHABLE_BACKOFF_S = 0.5
+MAX_UNREACHABLE_BACKOFF_S = 4.0
+FAILURE_BACKOFF_S = 0.15
 REMOTE_ZONE_PENALTY = 0.06
 # Cost of a full worker compared with an idle one when runs are placed; a slowness of 1 costs 1.
-PLACING_LOAD_WEIGHT = 0.25
+PLACEMENT_LOAD_WEIGHT = 0.25
 FAILURE_DECAY = 0.5
 FAILURE_WEIGHT = 2.0
 
@@ -161,12 +161,12 @@
             for worker in self.serving(late.service)
             if worker.incarnation not in excluded
             and not self._is_paused(worker)
-            and self.loads.has_room(worker)
+            and self.loads.has_free_slot(worker)
             and self.loads.is_sooner(worker, late)
         ]
         return self.loads.choose(candidates)
 
-    def soonest_answer_s(self, service: str, work: str) -> float | None:
+    def lowest_expected_latency_s(self, service: str, work: str) -> float | None:
         """Return the lowest expected latency of a request that has to wait for a slot.
 
         Args:
@@ -178,8 +178,8 @@
         """
         lowest_s: float | None = None
         for worker in self.serving(service):
-            time_s = self.loads.expected_time_s(worker, work)
-            if time_s is None or self.loads.has_room(worker):
+            time_s = self.loads.expected_latency_s(worker, work)
+            if time_s is None or self.loads.has_free_slot(worker):
                 return None
             lowest_s = time_s if lowest_s is None else min(lowest_s, time_s)
         return lowest_s
@@ -220,7 +220,9 @@
         """Return the workers of a service that runs may be placed at, including full ones."""
         return self._usable(self.serving(service))
 
-    def has_room(self, service: str, is_eligible: Eligible, limit: Callable[[Worker], int]) -> bool:
+    def has_free_slot(
+        self, service: str, is_eligible: Eligible, limit: Callable[[Worker], int]
+    ) -> bool:
         """Whether any eligible worker has a free slot; if not, ``choose_for_run`` finds none.
 
         Args:
@@ -289,7 +291,7 @@
         if self._is_paused(worker):
             return  # Concurrent refusals count once.
         observations = self._observations_of(worker)
-        pause_s = min(MAX_BUSY_PAUSE_S, BUSY_PAUSE_S * 2**observations.num_consecutive_refusals)
+        pause_s = min(MAX_BUSY_BACKOFF_S, BUSY_BACKOFF_S * 2**observations.num_consecutive_refusals)
         observations.num_consecutive_refusals += 1
         self._pause(worker, pause_s)
 
@@ -299,7 +301,7 @@
         observations = self._observations_of(worker)
         observations.num_consecutive_failures += 1
         observations.failure_score = observations.failure_score * FAILURE_DECAY + 1.0
-        self._pause(worker, FAILURE_PAUSE_S * observations.num_consecutive_failures)
+        self._pause(worker, FAILURE_BACKOFF_S * observations.num_consecutive_failures)
 
     def record_unreachable(self, worker: Worker) -> None:
         """Record that no connection to a worker could be established."""
@@ -307,8 +309,8 @@
         observations = self._observations_of(worker)
         observations.num_consecutive_failures += 1
         observations.failure_score = observations.failure_score * FAILURE_DECAY + 1.0
-        pause_s = UNREACHABLE_PAUSE_S * 2 ** min(observations.num_consecutive_failures - 1, 5)
-        self._pause(worker, min(pause_s, MAX_UNREACHABLE_PAUSE_S))
+        pause_s = UNREACHABLE_BACKOFF_S * 2 ** min(observations.num_consecutive_failures - 1, 5)
+        self._pause(worker, min(pause_s, MAX_UNREACHABLE_BACKOFF_S))
 
     def record_not_run(self, worker: Worker, reason: NotRunReason) -> None:
         """Record that a worker certainly did not run a request."""
@@ -366,7 +368,7 @@
     def _placement_cost(self, worker: Worker) -> tuple[float, float]:
         observations = self._observations_of(worker)
         load = (observations.num_in_flight + 1) / max(1, worker.capacity)
-        cost = self._event_intervals.placement_slowness(worker) + PLACING_LOAD_WEIGHT * load
+        cost = self._event_intervals.placement_slowness(worker) + PLACEMENT_LOAD_WEIGHT * load
         cost += FAILURE_WEIGHT * observations.failure_score
         if worker.zone != self._zone:
             cost += REMOTE_ZONE_PENALTY
--- a/src/hollowrack/group_kinds.py
+++ b/src/hollowrack/group_kinds.py
@@ -3,8 +3,8 @@
 from hollowrack.engines.controller import NoState, zone_of_group
 from hollowrack.replication.placement import GroupPlacement
 from hollowrack.replication.types import StateMachine
+from hollowrack.requests.at_most_once import CLAIM_GROUP_PREFIX
 from hollowrack.requests.claims import RequestClaims
-from hollowrack.requests.unsafe import CLAIM_GROUP_PREFIX
 from hollowrack.rollout.groups import RUN_GROUP_PREFIX
 from hollowrack.rollout.ledger import SampleLedger
 
--- a/src/hollowrack/node_core.py
+++ b/src/hollowrack/node_core.py
@@ -41,13 +41,13 @@
 from hollowrack.replication.host import GroupHost
 from hollowrack.replication.messages import Envelope
 from hollowrack.replication.repair import GroupRepair
-from hollowrack.requests.answers import AnswerStore
-from hollowrack.requests.budget import RetryBudget
-from hollowrack.requests.forwarding import ServiceForwarder
+from hollowrack.requests.answer_store import AnswerStore
+from hollowrack.requests.at_most_once import AtMostOnceRunner, AttemptStatusRequest
 from hollowrack.requests.gateway import Gateway, GatewayParts
 from hollowrack.requests.generation import GenerationRunner
-from hollowrack.requests.home_answers import FindAnswer, HomeAnswers, KeepAnswer
-from hollowrack.requests.unsafe import AskAttempt, UnsafeRequests
+from hollowrack.requests.replicated_answers import FindAnswer, ReplicatedAnswers, StoreAnswer
+from hollowrack.requests.retry_budget import RetryBudget
+from hollowrack.requests.service_forwarder import ServiceForwarder
 from hollowrack.results import value_or_raise
 from hollowrack.rollout.coordinator import RolloutContext
 from hollowrack.rollout.executor import (
@@ -60,9 +60,9 @@
 from hollowrack.rollout.trainer_messages import ReadRunStatus, ReadSamples
 from hollowrack.routing.broker import (
     BrokeredPlacer,
-    HeldPlacements,
     PlacementBroker,
     PlacementDone,
+    PlacementReport,
     PlaceRequest,
 )
 from hollowrack.routing.fleet import FleetView
@@ -202,7 +202,7 @@
         self.observer = FleetObserver(
             self.fleet, edges.read_machines, edges.make_engine_client, self._decides_about
         )
-        self.fleet.is_marked = self.facts.is_leaving
+        self.fleet.is_marked_leaving = self.facts.is_leaving
         self.engines = EngineController(
             identity.zone,
             self.host,
@@ -251,8 +251,8 @@
             self.placer, edges.make_engine_client, self.retry_budget, self.decisions
         )
         services = ServiceForwarder(self.local_placer, edges.services, self.retry_budget)
-        self.unsafe = UnsafeRequests(self.groups, self.membership, self.host.replica_id)
-        self.answers = HomeAnswers(
+        self.unsafe = AtMostOnceRunner(self.groups, self.membership, self.host.replica_id)
+        self.answers = ReplicatedAnswers(
             self.identity.node, self.membership, AnswerStore(self._limits.max_answers)
         )
         self.gateway = Gateway(
@@ -304,16 +304,16 @@
         on_sync(Digest, self.membership.answer_digest)
         on_sync(Exchange, self.membership.answer_exchange)
         on_sync(FetchBundle, self.bundles.answer_fetch)
-        on_sync(AskAttempt, self.unsafe.answer_ask)
-        on_sync(KeepAnswer, self.answers.answer_keep)
+        on_sync(AttemptStatusRequest, self.unsafe.attempt_status)
+        on_sync(StoreAnswer, self.answers.receive_answer)
         on_sync(FindAnswer, self.answers.answer_find)
         on(ReadSamples, self.runs.answer)
         on(ReadRunStatus, self.runs.answer)
         on_sync(Assignment, self.executor.assign)
         on_sync(RunningSlots, self.runs.note_running)
         on(PlaceRequest, self.broker.answer_place)
-        on_sync(PlacementDone, self.broker.answer_done)
-        on_sync(HeldPlacements, self.broker.answer_held)
+        on_sync(PlacementDone, self.broker.receive_done)
+        on_sync(PlacementReport, self.broker.receive_report)
 
     async def _answer_propose(self, request: ProposeRequest) -> ProposeAnswer:
         result = await self.host.propose(request.group, request.command)
--- a/src/hollowrack/platform/configuration.py
+++ b/src/hollowrack/platform/configuration.py
@@ -32,7 +32,7 @@
 DEFAULT_TARGET_LATENCY_MS = 1000
 LOWEST_PRIORITY = 9
 # Version that workers hold before a trainer announces one.
-MIN_NAMED_VERSION = 1
+MIN_TARGET_VERSION = 1
 # Bounds on text from other writers in one log line, in characters.
 MAX_LOGGED_DETAIL_LENGTH = 300
 MAX_LOGGED_PLACE_LENGTH = 200
@@ -234,7 +234,7 @@
     model, version = entry["model"], entry["version"]
     if not isinstance(model, str) or type(version) is not int:
         raise ValueError("model must be a string and version must be an integer")
-    if not MIN_NAMED_VERSION <= version <= MAX_WHOLE_NUMBER:
+    if not MIN_TARGET_VERSION <= version <= MAX_WHOLE_NUMBER:
         raise ValueError("version must be an integer from 1 to 2**53 - 1")
     return model, version
 
--- a/src/hollowrack/platform/edge_process.py
+++ b/src/hollowrack/platform/edge_process.py
@@ -206,9 +206,9 @@
 
     async def _stop(self) -> None:
         await self._is_started.wait()
-        await self.node.turn_away(self._settings.bounds.grace_s)
+        await self.node.begin_stop(self._settings.bounds.grace_s)
         # Requests in progress and owned jobs finish concurrently.
-        await asyncio.gather(self._frontend.stop(), self.node.finish())
+        await asyncio.gather(self._frontend.stop(), self.node.complete_stop())
         await cancel_all(self._report_task)
         await self._suspension_monitor.stop()
         await self._feed.stop()
--- a/src/hollowrack/platform/exchange.py
+++ b/src/hollowrack/platform/exchange.py
@@ -47,7 +47,7 @@
     Attributes:
         method: HTTP method.
         path: Raw path without the query.
-        has_begun: Whether the response has started.
+        has_started: Whether the response has started.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._send = send
         self._node = node
         self._received_s = now_s()
-        self.has_begun = False
+        self.has_started = False
 
     @property
     def host(self) -> str:
@@ -172,7 +172,7 @@
         await self._send_answer(status, headers, body)
 
     async def _send_answer(self, status: int, headers: Headers, body: bytes) -> None:
-        self.has_begun = True
+        self.has_started = True
         await send_whole(self._send, status, (*headers, *self._connection_headers()), body)
 
     async def send_problem(self, problem: Problem) -> None:
@@ -190,7 +190,7 @@
     async def start_stream(self, status: int, headers: Headers) -> None:
         """Send the status and headers of a streamed response."""
         self._answers[ResultCode.OK.name] += 1
-        self.has_begun = True
+        self.has_started = True
         message = _head(status, (*headers, *self._connection_headers()))
         await self._send(message)
 
--- a/src/hollowrack/platform/ingress.py
+++ b/src/hollowrack/platform/ingress.py
@@ -76,7 +76,7 @@
                 raise
             except Exception:
                 logging.exception("request %s failed with an unexpected error", exchange.request_id)
-                if exchange.has_begun:
+                if exchange.has_started:
                     raise
                 problem = Problem(
                     ResultCode.INTERNAL_ERROR, "the request failed with an internal error"
--- a/src/hollowrack/platform/store_feed.py
+++ b/src/hollowrack/platform/store_feed.py
@@ -155,12 +155,12 @@
             return
         problem = self._apply_operator_key(key, item.value)
         if problem is None:
-            self.unreadable.forget(key)
+            self.unreadable.remove(key)
         else:
             self.unreadable.record(names.OPERATOR_PREFIX, key, problem)
 
     def _on_operator_key_removed(self, key: str) -> None:
-        self.unreadable.forget(key)
+        self.unreadable.remove(key)
         if key == names.CONFIGURATION_KEY:
             detail = "the key was removed"
             logging.error("%s", Problem(ResultCode.CONFIGURATION_IGNORED, detail, key))
@@ -201,7 +201,7 @@
     def _on_worker_key(self, key: str, item: StoredItem | None) -> None:
         worker_id = key.removeprefix(names.WORKERS_PREFIX)
         if item is None:
-            self.unreadable.forget(key)
+            self.unreadable.remove(key)
             self._listener.worker_removed(worker_id)
             return
         worker = decode_worker(key, item.value)
@@ -210,7 +210,7 @@
             # The address may belong to another worker by now.
             self._listener.worker_removed(worker_id)
         else:
-            self.unreadable.forget(key)
+            self.unreadable.remove(key)
             self._listener.worker_changed(worker.unwrap())
 
 
--- a/src/hollowrack/platform/unreadable_entries.py
+++ b/src/hollowrack/platform/unreadable_entries.py
@@ -39,6 +39,6 @@
             num_suppressed = self._rate_limiter.reset_suppressed()
             logging.error("%s (%d similar log lines suppressed before)", problem, num_suppressed)
 
-    def forget(self, key: str) -> None:
+    def remove(self, key: str) -> None:
         """Forget the problem of an entry that is readable again or was removed."""
         self._problems.pop(key, None)
--- a/src/hollowrack/replication/repair.py
+++ b/src/hollowrack/replication/repair.py
@@ -20,7 +20,7 @@
 
 REPAIR_INTERVAL_S = 0.5
 JOIN_TIMEOUT_S = 1.5
-WAIT_POLL_S = 0.05
+CLAIM_POLL_INTERVAL_S = 0.05
 # A member that missed the announcement of its group runs no replica until it is told again.
 ANNOUNCE_AGAIN_S = 2.0
 
@@ -68,7 +68,7 @@
         while any(self._counts_on_us(group) for group in list(self._host.groups)):
             if now_s() >= deadline_s:
                 return False
-            await asyncio.sleep(WAIT_POLL_S)
+            await asyncio.sleep(CLAIM_POLL_INTERVAL_S)
         return True
 
     def _counts_on_us(self, group: str) -> bool:
--- a/src/hollowrack/requests/answers.py
+++ b/src/hollowrack/requests/answer_store.py
@@ -4,7 +4,7 @@
 
 from hollowrack.requests.types import RecordedAnswer
 
-MAX_KEPT_BYTES = 16 * 1024 * 1024
+MAX_STORED_BYTES = 16 * 1024 * 1024
 
 
 class AnswerStore:
@@ -15,13 +15,13 @@
         max_bytes: Most bytes of bodies kept.
     """
 
-    def __init__(self, max_answers: int, max_bytes: int = MAX_KEPT_BYTES) -> None:
+    def __init__(self, max_answers: int, max_bytes: int = MAX_STORED_BYTES) -> None:
         self._max_answers = max_answers
         self._max_bytes = max_bytes
         self._num_bytes = 0
         self._answers: OrderedDict[str, RecordedAnswer] = OrderedDict()
 
-    def keep(self, request_id: str, answer: RecordedAnswer) -> None:
+    def add(self, request_id: str, answer: RecordedAnswer) -> None:
         """Keep an answer; the first one for an identifier stays."""
         if request_id in self._answers or len(answer.body) > self._max_bytes:
             return
--- a/src/hollowrack/requests/unsafe.py
+++ b/src/hollowrack/requests/at_most_once.py
@@ -40,11 +40,11 @@
 NUM_CLAIM_GROUPS = 8
 CLAIM_TIMEOUT_S = 3.0
 RECORD_TIMEOUT_S = 10.0
-ASK_TIMEOUT_S = 1.0
-WAIT_POLL_S = 0.1
+STATUS_TIMEOUT_S = 1.0
+CLAIM_POLL_INTERVAL_S = 0.1
 MAX_WAIT_S = 30.0
-PREPARE_RETRY_S = 1.0
-MAX_NOT_RUN_REMEMBERED = 10_000
+PREPARE_RETRY_INTERVAL_S = 1.0
+MAX_NOT_RUN_ATTEMPTS = 10_000
 NO_QUORUM_RETRY_AFTER_S = 2.0
 
 RunRequest = Callable[[], Awaitable[Result[RecordedAnswer, Problem]]]
@@ -65,7 +65,7 @@
 
 @message("claims.ask_attempt")
 @dataclass(frozen=True)
-class AskAttempt:
+class AttemptStatusRequest:
     """Asks the node that made an attempt what became of it."""
 
     attempt: str
@@ -73,8 +73,8 @@
 
 @message("claims.attempt")
 @dataclass(frozen=True)
-class AttemptAnswer:
-    """Answer to :class:`AskAttempt`."""
+class AttemptStatusReply:
+    """Answer to :class:`AttemptStatusRequest`."""
 
     status: AttemptStatus
 
@@ -89,7 +89,7 @@
         """Commit a command."""
 
 
-class UnsafeRequests:
+class AtMostOnceRunner:
     """At-most-once execution for one node.
 
     Args:
@@ -114,7 +114,7 @@
             results = [await self._log.ensure(group) for group in groups]
             if all(isinstance(result, Success) for result in results):
                 return
-            await asyncio.sleep(PREPARE_RETRY_S)
+            await asyncio.sleep(PREPARE_RETRY_INTERVAL_S)
 
     async def run(
         self, request_id: str, body: bytes, run: RunRequest, max_wait_s: float = MAX_WAIT_S
@@ -153,13 +153,13 @@
         # An abandon by nobody changes nothing and returns the claim, through the log's order.
         return await self._commit(Abandon(request_id, ""), CLAIM_TIMEOUT_S)
 
-    def answer_ask(self, ask: AskAttempt) -> AttemptAnswer:
+    def attempt_status(self, ask: AttemptStatusRequest) -> AttemptStatusReply:
         """Answer another node's question about an attempt of this node."""
         if ask.attempt in self._running:
-            return AttemptAnswer(AttemptStatus.RUNNING)
+            return AttemptStatusReply(AttemptStatus.RUNNING)
         if ask.attempt in self._not_run:
-            return AttemptAnswer(AttemptStatus.NOT_RUN)
-        return AttemptAnswer(AttemptStatus.UNKNOWN)
+            return AttemptStatusReply(AttemptStatus.NOT_RUN)
+        return AttemptStatusReply(AttemptStatus.UNKNOWN)
 
     async def drain(self) -> None:
         """Wait for claims that are still being recorded."""
@@ -194,7 +194,7 @@
             if status is AttemptStatus.RUNNING:
                 if now_s() >= deadline_s:
                     return Failure(_unknown(request_id, "the first attempt is still running"))
-                await asyncio.sleep(WAIT_POLL_S)
+                await asyncio.sleep(CLAIM_POLL_INTERVAL_S)
                 claim = (await self.read(request_id)).value_or(claim)
                 continue
             ending: ClaimCommand = Abandon(request_id, claim.attempt)
@@ -210,13 +210,13 @@
         owner = attempt.rpartition("/")[0]
         node = node_of(owner)
         if owner == self._own_replica:
-            return self.answer_ask(AskAttempt(attempt)).status
+            return self.attempt_status(AttemptStatusRequest(attempt)).status
         known_incarnation = self._links.incarnation_of(node)
         if known_incarnation is not None and owner != replica_id(node, known_incarnation):
             return AttemptStatus.UNKNOWN
-        answer = await self._links.request(node, AskAttempt(attempt), ASK_TIMEOUT_S)
+        answer = await self._links.request(node, AttemptStatusRequest(attempt), STATUS_TIMEOUT_S)
         status = answer.value_or(None)
-        if isinstance(status, AttemptAnswer):
+        if isinstance(status, AttemptStatusReply):
             return status.status
         # An owner that is thought to run gets the benefit of the doubt until the caller's time
         # is up; one that is gone does not.
@@ -225,7 +225,7 @@
 
     def _note_not_run(self, attempt: str) -> None:
         self._not_run[attempt] = None
-        while len(self._not_run) > MAX_NOT_RUN_REMEMBERED:
+        while len(self._not_run) > MAX_NOT_RUN_ATTEMPTS:
             self._not_run.popitem(last=False)
 
     def _in_background(self, command: ClaimCommand) -> None:
--- a/src/hollowrack/requests/gateway.py
+++ b/src/hollowrack/requests/gateway.py
@@ -14,14 +14,14 @@
 from hollowrack.clients.service import ServiceRequest
 from hollowrack.clock import now_s
 from hollowrack.observability.logs import log_fields
+from hollowrack.requests.at_most_once import AtMostOnceRunner, RunRequest
 from hollowrack.requests.claims import ClaimStatus
-from hollowrack.requests.forwarding import ServiceForwarder
 from hollowrack.requests.generation import ChunkSink, GenerationPlan, GenerationRunner
-from hollowrack.requests.home_answers import HomeAnswers
+from hollowrack.requests.replicated_answers import ReplicatedAnswers
+from hollowrack.requests.service_forwarder import ServiceForwarder
 from hollowrack.requests.types import GeneratedText, RecordedAnswer
-from hollowrack.requests.unsafe import RunRequest, UnsafeRequests
 from hollowrack.results import Problem, ResultCode
-from hollowrack.routing.prefix import prefix_blocks
+from hollowrack.routing.prefix_index import prefix_blocks
 from hollowrack.routing.types import BackEndKind, Priority, RouteRequest
 
 STOPPING_RETRY_AFTER_S = 0.5
@@ -77,8 +77,8 @@
     zone: str
     generations: GenerationRunner
     services: ServiceForwarder
-    unsafe: UnsafeRequests
-    answers: HomeAnswers
+    at_most_once: AtMostOnceRunner
+    answers: ReplicatedAnswers
 
 
 class Gateway:
@@ -137,7 +137,7 @@
         kept = await self._parts.answers.find(request_id)
         if kept is not None:
             return Success(kept)
-        claim = (await self._parts.unsafe.read(request_id)).value_or(None)
+        claim = (await self._parts.at_most_once.read(request_id)).value_or(None)
         if claim is not None and claim.answer is not None:
             return Success(claim.answer)
         if claim is not None and claim.status is ClaimStatus.HELD:
@@ -177,7 +177,7 @@
         try:
             with log_fields(request=request_id):
                 if is_unsafe:
-                    result = await self._parts.unsafe.run(request_id, identity, run)
+                    result = await self._parts.at_most_once.run(request_id, identity, run)
                 else:
                     result = await run()
                 _log_result(result)
@@ -186,7 +186,7 @@
             if not self.num_in_progress:
                 self._idle.set()
         if isinstance(result, Success):
-            self._parts.answers.keep(request_id, result.unwrap())
+            self._parts.answers.add(request_id, result.unwrap())
         return result
 
     async def _generate(
--- a/src/hollowrack/requests/generation.py
+++ b/src/hollowrack/requests/generation.py
@@ -19,15 +19,15 @@
 )
 from hollowrack.clock import now_s
 from hollowrack.observability.decisions import DecisionKind, DecisionLog
-from hollowrack.requests.budget import RetryBudget
 from hollowrack.requests.lifecycle import (
     Admitted,
     Dispatched,
-    NoBytesSentProof,
     NotRunCode,
+    NotRunProof,
     Received,
     UnresolvedCode,
 )
+from hollowrack.requests.retry_budget import RetryBudget
 from hollowrack.requests.types import GeneratedText
 from hollowrack.results import Problem, ResultCode
 from hollowrack.rollout.spans import SpanBuilder
@@ -71,7 +71,7 @@
     finish_reason: str | None = None
     num_engines: int = 0
 
-    def take(self, chunk: TokenChunk) -> None:
+    def append(self, chunk: TokenChunk) -> None:
         """Append a chunk.
 
         Raises:
@@ -86,7 +86,7 @@
         self.texts.append(chunk.text)
         self.finish_reason = chunk.finish_reason
 
-    def whole(self) -> GeneratedText:
+    def generated_text(self) -> GeneratedText:
         """Return the finished generation."""
         return GeneratedText(
             text="".join(self.texts),
@@ -133,12 +133,12 @@
         """
         request_id = plan.generation.request_id
         state = Received(request_id).admit()
-        self._budget.note_request()
+        self._budget.record_request()
         progress = _Progress()
         tried: set[str] = set()
         unresolved: Problem | None = None
         for attempt in range(MAX_ATTEMPTS):
-            if attempt and not self._budget.take_retry():
+            if attempt and not self._budget.spend_retry():
                 break
             if now_s() >= plan.deadline_s:
                 expired = state.refuse(NotRunCode.DEADLINE_EXPIRED, "the deadline passed")
@@ -173,12 +173,12 @@
         try:
             await self._stream(plan, progress, state.address)
             evidence = PlacementOutcome.SUCCESS
-            return Success(progress.whole())
+            return Success(progress.generated_text())
         except EngineUnreachableError:
             evidence = PlacementOutcome.UNREACHABLE
-            return state.did_not_run(NoBytesSentProof.NO_CONNECTION)
+            return state.did_not_run(NotRunProof.NO_CONNECTION)
         except EngineRefusedError:
-            return state.did_not_run(NoBytesSentProof.EXPLICIT_REFUSAL)
+            return state.did_not_run(NotRunProof.EXPLICIT_REFUSAL)
         except StreamBrokenError as error:
             evidence = PlacementOutcome.FAILURE
             has_tokens = progress.spans.num_tokens > 0
@@ -206,7 +206,7 @@
                     if incarnation not in (None, chunk.incarnation):
                         raise StreamBrokenError("the engine's incarnation changed in a stream")
                     incarnation = chunk.incarnation
-                    progress.take(chunk)
+                    progress.append(chunk)
                 if plan.on_chunks is not None:
                     await plan.on_chunks(chunks)
                 if plan.stop_check is not None:
--- a/src/hollowrack/requests/lifecycle.py
+++ b/src/hollowrack/requests/lifecycle.py
@@ -35,7 +35,7 @@
     BACK_END_FAILED = ResultCode.BACK_END_FAILED
 
 
-class NoBytesSentProof(Enum):
+class NotRunProof(Enum):
     """Why it is certain that a dispatched request did not run."""
 
     NO_CONNECTION = "the connection was never made"
@@ -100,7 +100,7 @@
     request_id: str
     address: str
 
-    def did_not_run(self, proof: NoBytesSentProof) -> Admitted:
+    def did_not_run(self, proof: NotRunProof) -> Admitted:
         """Take the dispatch back, on proof that nothing ran."""
         del proof  # The argument forces the caller to name its proof.
         return Admitted(self.request_id)
--- a/src/hollowrack/requests/home_answers.py
+++ b/src/hollowrack/requests/replicated_answers.py
@@ -6,19 +6,19 @@
 
 from hollowrack.messages.codec import message
 from hollowrack.replication.links import NodeLinks
-from hollowrack.requests.answers import AnswerStore
+from hollowrack.requests.answer_store import AnswerStore
 from hollowrack.requests.types import RecordedAnswer
 from hollowrack.results import Problem, ProblemError, ResultCode
 
-NUM_HOMES = 2
+NUM_REPLICAS = 2
 # A node that joined lately changes an identifier's homes; a read asks a few more than a write.
-NUM_HOMES_ASKED = 4
-ASK_TIMEOUT_S = 1.0
+NUM_READ_REPLICAS = 4
+FIND_TIMEOUT_S = 1.0
 
 
 @message("answers.keep")
 @dataclass(frozen=True)
-class KeepAnswer:
+class StoreAnswer:
     """Asks a node to keep an answer."""
 
     request_id: str
@@ -33,7 +33,7 @@
     request_id: str
 
 
-class HomeAnswers:
+class ReplicatedAnswers:
     """Keeps and finds answers over the fleet.
 
     Args:
@@ -47,21 +47,21 @@
         self._links = links
         self._store = store
 
-    def keep(self, request_id: str, answer: RecordedAnswer) -> None:
+    def add(self, request_id: str, answer: RecordedAnswer) -> None:
         """Keep an answer here and on its home nodes."""
-        self._store.keep(request_id, answer)
-        for node in self._links.candidates(request_id)[:NUM_HOMES]:
+        self._store.add(request_id, answer)
+        for node in self._links.candidates(request_id)[:NUM_REPLICAS]:
             if node != self._node:
-                self._links.post(node, KeepAnswer(request_id, answer))
+                self._links.post(node, StoreAnswer(request_id, answer))
 
     async def find(self, request_id: str) -> RecordedAnswer | None:
         """Return the answer if it is kept here or on a home node."""
         own = self._store.find(request_id)
         if own is not None:
             return own
-        homes = self._links.candidates(request_id)[:NUM_HOMES_ASKED]
+        homes = self._links.candidates(request_id)[:NUM_READ_REPLICAS]
         requests = [
-            self._links.request(node, FindAnswer(request_id), ASK_TIMEOUT_S)
+            self._links.request(node, FindAnswer(request_id), FIND_TIMEOUT_S)
             for node in homes
             if node != self._node
         ]
@@ -71,9 +71,9 @@
                 return found
         return None
 
-    def answer_keep(self, request: KeepAnswer) -> None:
+    def receive_answer(self, request: StoreAnswer) -> None:
         """Keep an answer for another node."""
-        self._store.keep(request.request_id, request.answer)
+        self._store.add(request.request_id, request.answer)
 
     def answer_find(self, request: FindAnswer) -> RecordedAnswer:
         """Answer another node.
--- a/src/hollowrack/requests/forwarding.py
+++ b/src/hollowrack/requests/service_forwarder.py
@@ -10,15 +10,15 @@
     ServiceUnreachableError,
 )
 from hollowrack.clock import now_s
-from hollowrack.requests.budget import RetryBudget
 from hollowrack.requests.lifecycle import (
     Admitted,
     Dispatched,
-    NoBytesSentProof,
     NotRunCode,
+    NotRunProof,
     Received,
     UnresolvedCode,
 )
+from hollowrack.requests.retry_budget import RetryBudget
 from hollowrack.requests.types import RecordedAnswer
 from hollowrack.results import Problem
 from hollowrack.routing.placement import Placement, PlacementOutcome, PlacementRequest, Placer
@@ -53,12 +53,12 @@
         An unsafe request is sent again only on proof that it did not run.
         """
         state = Received(request.request_id).admit()
-        self._budget.note_request()
+        self._budget.record_request()
         deadline_s = now_s() + request.timeout_s
         tried: set[str] = set()
         unresolved: Problem | None = None
         for attempt in range(MAX_ATTEMPTS):
-            if attempt and not self._budget.take_retry():
+            if attempt and not self._budget.spend_retry():
                 break
             if now_s() >= deadline_s:
                 expired = state.refuse(NotRunCode.DEADLINE_EXPIRED, "the deadline passed")
@@ -96,9 +96,9 @@
             return Success(answer)
         except ServiceUnreachableError:
             evidence = PlacementOutcome.UNREACHABLE
-            return state.did_not_run(NoBytesSentProof.NO_CONNECTION)
+            return state.did_not_run(NotRunProof.NO_CONNECTION)
         except ServiceRefusedError:
-            return state.did_not_run(NoBytesSentProof.EXPLICIT_REFUSAL)
+            return state.did_not_run(NotRunProof.EXPLICIT_REFUSAL)
         except ServiceBrokenError as error:
             evidence = PlacementOutcome.FAILURE
             return Failure(state.unresolved(UnresolvedCode.OUTCOME_UNKNOWN, str(error)).problem)
--- a/src/hollowrack/rollout/coordinator.py
+++ b/src/hollowrack/rollout/coordinator.py
@@ -19,7 +19,7 @@
 from hollowrack.replication.links import NodeLinks
 from hollowrack.results import Problem, ResultCode
 from hollowrack.rollout.commands import HandOver, LedgerOutcome
-from hollowrack.rollout.executor import RESTATE_INTERVAL_S, Assignment, RolloutExecutor
+from hollowrack.rollout.executor import REPORT_INTERVAL_S, Assignment, RolloutExecutor
 from hollowrack.rollout.groups import run_group
 from hollowrack.rollout.ledger import SampleLedger
 from hollowrack.rollout.scheduling import Dispatch, plan_dispatches
@@ -32,11 +32,11 @@
 MAX_POLL_WAIT_S = 20.0
 _POLL_PAUSE_S = 0.02
 # A slot that its node has not restated for this long is started again elsewhere.
-FORGOTTEN_AFTER_S = 4 * RESTATE_INTERVAL_S
+PLACEMENT_TTL_S = 4 * REPORT_INTERVAL_S
 # A statement that is younger than this may have been made before an assignment arrived.
 ASSIGNMENT_TRAVEL_S = 0.2
 # A new leader hears from every executor within this time.
-FIRST_STATEMENTS_S = 1.5 * RESTATE_INTERVAL_S
+FIRST_STATEMENTS_S = 1.5 * REPORT_INTERVAL_S
 
 
 @dataclass(frozen=True)
@@ -91,7 +91,7 @@
     def forget_old(self) -> None:
         """Drop what was not restated: its node is gone."""
         for slot, entry in list(self.slots.items()):
-            if now_s() - entry.restated_s >= FORGOTTEN_AFTER_S:
+            if now_s() - entry.restated_s >= PLACEMENT_TTL_S:
                 del self.slots[slot]
 
 
--- a/src/hollowrack/rollout/executor.py
+++ b/src/hollowrack/rollout/executor.py
@@ -31,11 +31,11 @@
 from hollowrack.rollout.groups import run_group
 from hollowrack.rollout.spans import SpanBuilder
 from hollowrack.rollout.types import Prompt, Sample, Slot
-from hollowrack.routing.prefix import prefix_blocks
+from hollowrack.routing.prefix_index import prefix_blocks
 from hollowrack.routing.types import BackEndKind, Priority, RouteRequest
 from hollowrack.tasks import cancel_all
 
-RESTATE_INTERVAL_S = 0.5
+REPORT_INTERVAL_S = 0.5
 RESTATE_MIN_PAUSE_S = 0.1
 RETRY_INTERVAL_S = 0.1
 MAX_WAITS_FOR_ROOM = 100
@@ -239,7 +239,7 @@
         while True:
             await asyncio.sleep(RESTATE_MIN_PAUSE_S)
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(RESTATE_INTERVAL_S - RESTATE_MIN_PAUSE_S):
+                async with asyncio.timeout(REPORT_INTERVAL_S - RESTATE_MIN_PAUSE_S):
                     await self._ended.wait()
             self._ended.clear()
             # A run whose last generation ended is restated once more, as empty.
--- a/src/hollowrack/routing/broker.py
+++ b/src/hollowrack/routing/broker.py
@@ -24,11 +24,11 @@
 from hollowrack.routing.types import BackEndKind, BackEndStatus, Priority, RouteRequest
 from hollowrack.tasks import cancel_all
 
-RESTATE_INTERVAL_S = 1.0
+REPORT_INTERVAL_S = 1.0
 PLACE_TIMEOUT_MARGIN_S = 0.5
-MAX_OTHER_ZONES_ASKED = 2
+MAX_REMOTE_ZONES = 2
 # A placement that its node has not restated for this long is taken for finished.
-FORGOTTEN_AFTER_S = 3.0
+PLACEMENT_TTL_S = 3.0
 
 
 @message("placement.place")
@@ -53,7 +53,7 @@
 
 @message("placement.held")
 @dataclass(frozen=True)
-class HeldPlacements:
+class PlacementReport:
     """Everything a node has placed on the engines of one zone and pool."""
 
     node: str
@@ -131,13 +131,13 @@
         zone.held[placement.placement_id] = _Held(placement, request.node, now_s())
         return placement
 
-    def answer_done(self, done: PlacementDone) -> None:
+    def receive_done(self, done: PlacementDone) -> None:
         """A placement ended."""
         zone = self._zone(done.placement.zone)
         if zone.held.pop(done.placement.placement_id, None) is not None:
             zone.placer.finish(done.placement, done.outcome, done.service_s)
 
-    def answer_held(self, held: HeldPlacements) -> None:
+    def receive_report(self, held: PlacementReport) -> None:
         """Compare with what a node says it holds: adopt what is new, drop what is gone."""
         zone = self._zone(held.zone)
         stated = {placement.placement_id for placement in held.placements}
@@ -147,9 +147,9 @@
                 known.restated_s = now_s()
             elif placement.address in self._parts.fleet.records:
                 zone.held[placement.placement_id] = _Held(placement, held.node, now_s())
-                zone.placer.adopt(placement)
+                zone.placer.record_placement(placement)
         for name, entry in list(zone.held.items()):
-            is_old = now_s() - entry.restated_s >= RESTATE_INTERVAL_S
+            is_old = now_s() - entry.restated_s >= REPORT_INTERVAL_S
             if entry.node == held.node and name not in stated and is_old:
                 self._drop(zone, name)
 
@@ -165,10 +165,10 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(RESTATE_INTERVAL_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
             for zone in self._zones.values():
                 for name, entry in list(zone.held.items()):
-                    if now_s() - entry.restated_s >= FORGOTTEN_AFTER_S:
+                    if now_s() - entry.restated_s >= PLACEMENT_TTL_S:
                         self._drop(zone, name)
 
     def _on_change(self, change: MembershipChange) -> None:
@@ -242,11 +242,11 @@
             return
         self._held.pop(placement.placement_id, None)
         # Direct evidence counts here at once, too.
-        self._parts.fleet.note_evidence(placement.address, outcome, now_s())
+        self._parts.fleet.record_outcome(placement.address, outcome, now_s())
         done = PlacementDone(placement, outcome, service_s)
         broker = self.broker_of(placement.pool, placement.zone)
         if broker == self._parts.node:
-            self._broker.answer_done(done)
+            self._broker.receive_done(done)
         elif broker is not None:
             self._membership.post(broker, done)
 
@@ -302,11 +302,11 @@
         others = [zone for zone in room if zone != route.zone]
         others.sort(key=lambda zone: (-room[zone], zone))
         reachable = [zone for zone in others if self._membership.swim.is_zone_reachable(zone)]
-        return own + reachable[:MAX_OTHER_ZONES_ASKED]
+        return own + reachable[:MAX_REMOTE_ZONES]
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(RESTATE_INTERVAL_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
             by_broker: dict[tuple[str, str], list[Placement]] = {}
             for placement in self._held.values():
                 key = (placement.pool, placement.zone)
@@ -315,10 +315,10 @@
                 self._restate(pool, zone, tuple(placements))
 
     def _restate(self, pool: str, zone: str, placements: tuple[Placement, ...]) -> None:
-        held = HeldPlacements(self._parts.node, zone, placements)
+        held = PlacementReport(self._parts.node, zone, placements)
         broker = self.broker_of(pool, zone)
         if broker == self._parts.node:
-            self._broker.answer_held(held)
+            self._broker.receive_report(held)
         elif broker is not None:
             self._membership.post(broker, held)
 
--- a/src/hollowrack/routing/choice.py
+++ b/src/hollowrack/routing/choice.py
@@ -9,7 +9,7 @@
 
 from hollowrack.hashing import text_hash
 from hollowrack.results import Problem, ResultCode
-from hollowrack.routing.prefix import PrefixIndex
+from hollowrack.routing.prefix_index import PrefixIndex
 from hollowrack.routing.types import (
     BackEnd,
     BackEndStatus,
@@ -28,13 +28,13 @@
     """What the parts of a choice cost, in milliseconds.
 
     Attributes:
-        other_zone_ms: A request to another zone instead of this one.
+        cross_zone_ms: A request to another zone instead of this one.
         full_load_ms: Slowdown of an engine with all slots busy against an idle one.
         prefill_block_ms: Computing one prefix block that is not cached.
         max_affinity_load: Load share above which affinity no longer counts.
     """
 
-    other_zone_ms: float = 2.0
+    cross_zone_ms: float = 2.0
     full_load_ms: float = 20.0
     prefill_block_ms: float = 2.0
     max_affinity_load: float = 0.9
@@ -135,7 +135,7 @@
     num_queued = max(0.0, load + 1 - num_slots)
     queue_ms = back_end.mean_service_ms * num_queued / num_slots
     queue_ms += costs.full_load_ms * min(1.0, load_share)
-    distance_ms = 0.0 if back_end.zone == request.zone else costs.other_zone_ms
+    distance_ms = 0.0 if back_end.zone == request.zone else costs.cross_zone_ms
     saved_ms = 0.0
     if load_share <= costs.max_affinity_load:
         matching = prefixes.num_matching(back_end.address, request.prefix_blocks)
--- a/src/hollowrack/routing/fleet.py
+++ b/src/hollowrack/routing/fleet.py
@@ -6,9 +6,9 @@
 
 from hollowrack.clients.engine import EngineLoad, EngineState
 from hollowrack.clients.machine_list import Machine
-from hollowrack.routing.circuit import Circuit
+from hollowrack.routing.circuit_breaker import CircuitBreaker
 from hollowrack.routing.placement import PlacementOutcome
-from hollowrack.routing.prefix import PrefixIndex
+from hollowrack.routing.prefix_index import PrefixIndex
 from hollowrack.routing.types import (
     DEFAULT_SERVICE_MS,
     BackEnd,
@@ -18,13 +18,13 @@
 
 DEFAULT_SERVICE_SLOTS = 32
 ENGINE_STATUS_SERVING = "serving"
-SERVICE_SMOOTHING = 0.1
-NUM_REPORTS_COMPARED = 5
+SERVICE_TIME_SMOOTHING = 0.1
+REPORT_WINDOW_SIZE = 5
 _MS_PER_S = 1000.0
 
 
 def _recent() -> deque[int]:
-    return deque(maxlen=NUM_REPORTS_COMPARED)
+    return deque(maxlen=REPORT_WINDOW_SIZE)
 
 
 @dataclass(frozen=True)
@@ -51,11 +51,11 @@
         reported_load: Requests running and waiting by the last report.
         num_live: Live requests in progress that this node placed.
         num_training: Training generations in progress that this node placed.
-        others_live: Live requests beyond those, in each of the last reports.
-        others_load: All requests beyond those, in each of the last reports.
+        other_nodes_live: Live requests beyond those, in each of the last reports.
+        other_nodes_load: All requests beyond those, in each of the last reports.
         circuit: Direct evidence.
-        seen: The record as routing sees it, until something changes. A placement looks at every
-            back end and changes one.
+        cached_back_end: The record as routing sees it, until something changes. A placement looks
+            at every back end and changes one.
     """
 
     machine: Machine
@@ -64,10 +64,10 @@
     reported_load: int = 0
     num_live: int = 0
     num_training: int = 0
-    others_live: deque[int] = field(default_factory=_recent)
-    others_load: deque[int] = field(default_factory=_recent)
-    circuit: Circuit = field(default_factory=Circuit)
-    seen: BackEnd | None = None
+    other_nodes_live: deque[int] = field(default_factory=_recent)
+    other_nodes_load: deque[int] = field(default_factory=_recent)
+    circuit: CircuitBreaker = field(default_factory=CircuitBreaker)
+    cached_back_end: BackEnd | None = None
 
     @property
     def estimated_load(self) -> int:
@@ -76,12 +76,12 @@
         A report is older than this node's own counts. While requests come and go, their difference
         is noise; the least of several differences is what others really have.
         """
-        return self.num_live + self.num_training + min(self.others_load, default=0)
+        return self.num_live + self.num_training + min(self.other_nodes_load, default=0)
 
     @property
     def estimated_live(self) -> int:
         """Live requests on it, estimated in the same way."""
-        return self.num_live + min(self.others_live, default=0)
+        return self.num_live + min(self.other_nodes_live, default=0)
 
     @property
     def status(self) -> BackEndStatus:
@@ -100,11 +100,11 @@
     Attributes:
         records: What is known of each, by address.
         prefixes: Which engine holds which prompt prefix.
-        is_marked: Whether an address was marked as leaving before this node heard of it.
+        is_marked_leaving: Whether an address was marked as leaving before this node heard of it.
     """
 
     def __init__(self) -> None:
-        self.is_marked: Callable[[str], bool] = lambda address: False
+        self.is_marked_leaving: Callable[[str], bool] = lambda address: False
         self.records: dict[str, BackEndRecord] = {}
         self.prefixes = PrefixIndex()
         self._mean_service_ms: dict[str, float] = {}
@@ -116,20 +116,20 @@
         for machine in machines:
             record = self.records.get(machine.address)
             if record is None:
-                is_leaving = machine.is_leaving or self.is_marked(machine.address)
+                is_leaving = machine.is_leaving or self.is_marked_leaving(machine.address)
                 self.records[machine.address] = BackEndRecord(machine, is_leaving)
                 continue
             record.machine = machine
             record.is_leaving = record.is_leaving or machine.is_leaving
-            record.seen = None
+            record.cached_back_end = None
         for address, record in list(self.records.items()):
             if address in listed:
                 continue
             record.is_leaving = True
-            record.seen = None
+            record.cached_back_end = None
             if record.num_live + record.num_training == 0:
                 del self.records[address]
-                self.prefixes.forget(address)
+                self.prefixes.remove(address)
         self._by_pool = {}
         for record in self.records.values():
             self._by_pool.setdefault(record.machine.pool, []).append(record)
@@ -139,14 +139,14 @@
         record = self.records.get(address)
         if record is not None:
             record.is_leaving = True
-            record.seen = None
+            record.cached_back_end = None
 
     def apply_engine_state(self, address: str, state: EngineState | None) -> None:
         """Take in an engine's control state; ``None`` if it did not answer."""
         record = self.records.get(address)
         if record is not None and record.engine != state:
             record.engine = state
-            record.seen = None
+            record.cached_back_end = None
 
     def apply_load(self, address: str, load: EngineLoad) -> None:
         """Take in a load report."""
@@ -154,32 +154,32 @@
         if record is not None:
             record.reported_load = load.num_running + load.num_waiting
             num_own = record.num_live + record.num_training
-            record.others_live.append(max(0, load.num_live - record.num_live))
-            record.others_load.append(max(0, record.reported_load - num_own))
-            record.seen = None
+            record.other_nodes_live.append(max(0, load.num_live - record.num_live))
+            record.other_nodes_load.append(max(0, record.reported_load - num_own))
+            record.cached_back_end = None
 
-    def note_sent(self, address: str, is_training: bool, now_s: float) -> None:
+    def record_sent(self, address: str, is_training: bool, now_s: float) -> None:
         """A request is about to be sent."""
         record = self.records[address]
-        record.circuit.note_sent(now_s)
-        record.seen = None
+        record.circuit.record_sent(now_s)
+        record.cached_back_end = None
         if is_training:
             record.num_training += 1
         else:
             record.num_live += 1
 
-    def note_service_time(self, pool: str, service_s: float) -> None:
+    def record_service_time(self, pool: str, service_s: float) -> None:
         """Take in the time a live request took in a pool."""
         service_ms = service_s * _MS_PER_S
         known_ms = self._mean_service_ms.get(pool, service_ms)
-        self._mean_service_ms[pool] = known_ms + SERVICE_SMOOTHING * (service_ms - known_ms)
+        self._mean_service_ms[pool] = known_ms + SERVICE_TIME_SMOOTHING * (service_ms - known_ms)
 
-    def note_finished(self, address: str, is_training: bool) -> None:
+    def record_finished(self, address: str, is_training: bool) -> None:
         """A request ended, however it did."""
         record = self.records.get(address)
         if record is None:
             return
-        record.seen = None
+        record.cached_back_end = None
         if is_training:
             record.num_training -= 1
         else:
@@ -195,33 +195,33 @@
         num_slots = sum(back_end.num_slots for back_end in serving)
         return PoolLoad(num_slots, sum(int(back_end.estimated_live) for back_end in serving))
 
-    def note_evidence(self, address: str, outcome: PlacementOutcome, now_s: float) -> None:
+    def record_outcome(self, address: str, outcome: PlacementOutcome, now_s: float) -> None:
         """Take in direct evidence about a back end."""
         record = self.records.get(address)
         if record is None:
             return
-        record.seen = None
+        record.cached_back_end = None
         match outcome:
             case PlacementOutcome.SUCCESS:
-                record.circuit.note_success()
+                record.circuit.record_success()
             case PlacementOutcome.FAILURE:
-                record.circuit.note_failure(now_s)
+                record.circuit.record_failure(now_s)
             case PlacementOutcome.UNREACHABLE:
-                record.circuit.note_failure(now_s, is_conclusive=True)
+                record.circuit.record_failure(now_s, is_conclusive=True)
             case PlacementOutcome.ABANDONED:
-                record.circuit.note_abandoned(now_s)
+                record.circuit.record_abandoned(now_s)
 
     def snapshot(self, now_s: float, pool: str | None = None) -> list[BackEnd]:
         """Return the back ends of a pool, or all, as they are seen at ``now_s``."""
         records = self.records.values() if pool is None else self._by_pool.get(pool, [])
-        return [record.seen or self._see(record, now_s) for record in records]
+        return [record.cached_back_end or self._see(record, now_s) for record in records]
 
     def _see(self, record: BackEndRecord, now_s: float) -> BackEnd:
         mean_service_ms = self._mean_service_ms.get(record.machine.pool)
         back_end = _back_end(record, now_s, mean_service_ms)
         if back_end.is_circuit_closed:
             # A circuit that is open closes by time alone, so it is looked at anew.
-            record.seen = back_end
+            record.cached_back_end = back_end
         return back_end
 
 
--- a/src/hollowrack/routing/local_placer.py
+++ b/src/hollowrack/routing/local_placer.py
@@ -63,8 +63,8 @@
             ticket = admitted.unwrap()
         placed = self._choose(request)
         if isinstance(placed, Success):
-            self.adopt(placed.unwrap(), ticket)
-            self._parts.fleet.prefixes.note_sent(
+            self.record_placement(placed.unwrap(), ticket)
+            self._parts.fleet.prefixes.record_sent(
                 placed.unwrap().address, request.route.prefix_blocks
             )
         elif ticket is not None:
@@ -96,9 +96,9 @@
             )
         )
 
-    def adopt(self, placement: Placement, ticket: Ticket | None = None) -> None:
+    def record_placement(self, placement: Placement, ticket: Ticket | None = None) -> None:
         """Count a placement, whoever made it."""
-        self._parts.fleet.note_sent(placement.address, placement.is_training, now_s())
+        self._parts.fleet.record_sent(placement.address, placement.is_training, now_s())
         if ticket is not None:
             self._tickets[placement.placement_id] = ticket
 
@@ -108,7 +108,7 @@
         ticket = self._tickets.pop(placement.placement_id, None)
         if ticket is not None:
             ticket.release()
-        fleet.note_finished(placement.address, placement.is_training)
-        fleet.note_evidence(placement.address, outcome, now_s())
+        fleet.record_finished(placement.address, placement.is_training)
+        fleet.record_outcome(placement.address, outcome, now_s())
         if outcome is PlacementOutcome.SUCCESS and not placement.is_training:
-            fleet.note_service_time(placement.pool, service_s)
+            fleet.record_service_time(placement.pool, service_s)
--- a/src/hollowrack/routing/observer.py
+++ b/src/hollowrack/routing/observer.py
@@ -12,9 +12,9 @@
 from hollowrack.routing.types import BackEndKind
 from hollowrack.tasks import cancel_all
 
-MACHINE_LIST_INTERVAL_S = 0.5
-ENGINE_INTERVAL_S = 0.25
-OTHERS_EVERY_ROUNDS = 4
+MACHINE_LIST_POLL_INTERVAL_S = 0.5
+ENGINE_POLL_INTERVAL_S = 0.25
+OTHER_ENGINES_POLL_ROUNDS = 4
 
 
 class FleetObserver:
@@ -24,7 +24,7 @@
         fleet: The view to keep up to date.
         read_machines: Reads the machine list.
         make_client: Returns the client of an engine by its address.
-        is_close: Whether this node decides about an engine, and so must know it well.
+        polls_every_round: Whether this node decides about an engine, and so must know it well.
     """
 
     def __init__(
@@ -32,12 +32,12 @@
         fleet: FleetView,
         read_machines: ReadMachines,
         make_client: MakeEngineClient,
-        is_close: Callable[[Machine], bool],
+        polls_every_round: Callable[[Machine], bool],
     ) -> None:
         self._fleet = fleet
         self._read_machines = read_machines
         self._make_client = make_client
-        self._is_close = is_close
+        self._is_close = polls_every_round
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
@@ -57,7 +57,7 @@
             # An unreachable list leaves the view as it is: it is a hint and no more.
             if isinstance(listed, Success):
                 self._fleet.apply_machine_list(listed.unwrap())
-            await asyncio.sleep(MACHINE_LIST_INTERVAL_S)
+            await asyncio.sleep(MACHINE_LIST_POLL_INTERVAL_S)
 
     async def _run_engines(self) -> None:
         for number in itertools.count():
@@ -67,7 +67,7 @@
                 if self._is_due(address, number + position)
             ]
             await asyncio.gather(*(self._observe(address) for address in addresses))
-            await asyncio.sleep(ENGINE_INTERVAL_S)
+            await asyncio.sleep(ENGINE_POLL_INTERVAL_S)
 
     def _is_due(self, address: str, turn: int) -> bool:
         """Whether an engine is polled in this round: close ones always, others in their turn."""
@@ -75,7 +75,7 @@
         if record.machine.kind != BackEndKind.ENGINE.value:
             return False
         is_new = record.engine is None
-        return is_new or turn % OTHERS_EVERY_ROUNDS == 0 or self._is_close(record.machine)
+        return is_new or turn % OTHER_ENGINES_POLL_ROUNDS == 0 or self._is_close(record.machine)
 
     async def _observe(self, address: str) -> None:
         client = self._make_client(address)
--- a/src/hollowrack/routing/prefix.py
+++ b/src/hollowrack/routing/prefix_index.py
@@ -59,7 +59,7 @@
         for block in events.removed:
             index.blocks.pop(block, None)
 
-    def note_sent(self, address: str, blocks: tuple[int, ...]) -> None:
+    def record_sent(self, address: str, blocks: tuple[int, ...]) -> None:
         """A prompt was sent to an engine, which will hold its blocks before any event says so."""
         index = self._engines.setdefault(address, _EngineIndex())
         for block in blocks:
@@ -77,7 +77,7 @@
             num_matching += 1
         return num_matching * (UNCERTAIN_WEIGHT if index.is_uncertain else 1.0)
 
-    def forget(self, address: str) -> None:
+    def remove(self, address: str) -> None:
         """Drop what is known of an engine."""
         self._engines.pop(address, None)
 
--- a/src/hollowrack/slots/plan.py
+++ b/src/hollowrack/slots/plan.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 # Prevents starvation: each owner gets at least this fraction of an equal division.
-FLOOR_SHARE = 0.25
+FLOOR_FRACTION = 0.25
 MIN_FLOOR_SLOTS = 1
 
 
@@ -176,7 +176,7 @@
         if not names:
             return
         equal_division = sum(self._capacity.values()) / len(names)
-        left = dict.fromkeys(names, max(MIN_FLOOR_SLOTS, int(FLOOR_SHARE * equal_division)))
+        left = dict.fromkeys(names, max(MIN_FLOOR_SLOTS, int(FLOOR_FRACTION * equal_division)))
         ordered = sorted(demands, key=lambda demand: len(demand.demand.incarnations))
         for step in self._steps:
             for demand in ordered:
--- a/src/hollowrack/usage/counts.py
+++ b/src/hollowrack/usage/counts.py
@@ -51,7 +51,7 @@
         """Return the first window with a count; ``None`` if there is none."""
         return min((min(windows) for windows in self._counts.values() if windows), default=None)
 
-    def forget_before(self, window: int) -> None:
+    def remove_before(self, window: int) -> None:
         """Remove the counts of decided windows; later counts for them are ignored."""
         self._first_window = max(window, self._first_window)
         for process, windows in list(self._counts.items()):
--- a/src/hollowrack/usage/reporter.py
+++ b/src/hollowrack/usage/reporter.py
@@ -21,12 +21,12 @@
 
 POLL_INTERVAL_S = 0.25
 # Counts reach the leader within 1 s, or later if a node was disconnected.
-SETTLE_S = 2.5
+WINDOW_GRACE_S = 2.5
 # Time for nodes to see a new leader and push their counts to it.
 NEW_LEADER_WAIT_S = 1.5
 RETRY_INTERVAL_S = 0.5
 # Older undelivered reports are dropped.
-MAX_KEPT_REPORTS = 8
+MAX_PENDING_REPORTS = 8
 
 
 class UsageReporter:
@@ -79,7 +79,7 @@
         self._record.update(item)
 
     def _discard_decided(self, decided: DecidedUsage) -> None:
-        self._counts.forget_before(decided.next_window)
+        self._counts.remove_before(decided.next_window)
 
     async def _run(self) -> None:
         while True:
@@ -94,16 +94,16 @@
             await self._deliver()
 
     async def _decide_next(self) -> None:
-        """Decide the oldest undecided window, if it ended at least ``SETTLE_S`` ago."""
+        """Decide the oldest undecided window, if it ended at least ``WINDOW_GRACE_S`` ago."""
         if not await self._record.ensure_current():
             return
         decided = self._record.value or DecidedUsage(self._first_window())
         window = decided.next_window
-        if self._time_s() < (window + 1) * self._window_s + SETTLE_S:
+        if self._time_s() < (window + 1) * self._window_s + WINDOW_GRACE_S:
             return
         report = WindowReport(window, self._counts.totals(window))
         kept = [one for one in decided.reports if one.window not in self._delivered]
-        updated = DecidedUsage(window + 1, (*kept[1 - MAX_KEPT_REPORTS :], report))
+        updated = DecidedUsage(window + 1, (*kept[1 - MAX_PENDING_REPORTS :], report))
         is_decided = await self._record.replace(updated)
         logging.info(
             "usage of window %d: %d requests, %s",
--- a/src/hollowrack/weights/plan.py
+++ b/src/hollowrack/weights/plan.py
@@ -11,11 +11,11 @@
 MIN_WORKERS_PER_MODEL = 2
 MIN_CONCURRENT_LOADS = 2
 # More concurrent loads than this share of the workers slow each other down.
-CONCURRENT_LOADS_SHARE = 0.4
+CONCURRENT_LOADS_FRACTION = 0.4
 # Loads of one load slot between two versions: a load takes 1 s, versions are 4 s apart.
 LOADS_PER_SLOT = 4
 # Where models share workers, leaves capacity for repeating failed loads.
-SHARED_LOADS_SHARE = 0.75
+SHARED_LOADS_FRACTION = 0.75
 # One additional unplanned holder of a model may stay per this many holders.
 INCUMBENTS_PER_SPARE = 6
 # A version serves two steps, so half of the workers may skip each version.
@@ -54,12 +54,12 @@
 
 def max_concurrent_loads(num_workers: int) -> int:
     """Return how many workers of a service may load at the same time."""
-    return max(MIN_CONCURRENT_LOADS, round(CONCURRENT_LOADS_SHARE * num_workers))
+    return max(MIN_CONCURRENT_LOADS, round(CONCURRENT_LOADS_FRACTION * num_workers))
 
 
 def max_loads_per_version(num_workers: int) -> int:
     """Return how many loads fit between two versions, over all models."""
-    num_load_slots = max(MIN_CONCURRENT_LOADS, CONCURRENT_LOADS_SHARE * num_workers)
+    num_load_slots = max(MIN_CONCURRENT_LOADS, CONCURRENT_LOADS_FRACTION * num_workers)
     return int(LOADS_PER_SLOT * num_load_slots)
 
 
@@ -78,7 +78,7 @@
     max_loads = max_loads_per_version(len(workers))
     if num_pairs <= max_loads:
         return LoadPlan({name: tuple(workers) for name in names}, skips_versions=False)
-    num_holders = int(SHARED_LOADS_SHARE * max_loads) * NUM_STEPS_SERVED // len(names)
+    num_holders = int(SHARED_LOADS_FRACTION * max_loads) * NUM_STEPS_SERVED // len(names)
     num_holders = min(len(workers), max(MIN_WORKERS_PER_MODEL, num_holders))
     if len(names) == 1:
         num_holders = len(workers)
@@ -131,7 +131,7 @@
 
 
 def next_moves(
-    named_versions: Mapping[str, int],
+    target_versions: Mapping[str, int],
     ready_models: Collection[str],
     plan: LoadPlan,
     held_versions: HeldVersions,
@@ -146,7 +146,7 @@
     first and without delay.
 
     Args:
-        named_versions: Newest announced version by model.
+        target_versions: Newest announced version by model.
         ready_models: Models whose workers with the previous version may be moved.
         plan: Assignment of models to workers.
         held_versions: Known loaded versions.
@@ -156,12 +156,12 @@
     moves: list[VersionMove] = []
     busy = set(loading)
     num_loading_by_model = Counter(loading.values())
-    for can_serve, model, worker in _outdated_workers(named_versions, plan.holders, held_versions):
+    for can_serve, model, worker in _outdated_workers(target_versions, plan.holders, held_versions):
         if len(busy) >= max_concurrent:
             break
         num_holders = len(plan.holders[model])
         num_ahead = num_loading_by_model[model] + sum(
-            held_versions.get((holder.incarnation, model), 0) >= named_versions[model]
+            held_versions.get((holder.incarnation, model), 0) >= target_versions[model]
             for holder in plan.holders[model]
         )
         may_move = not can_serve or (
@@ -173,7 +173,7 @@
             continue
         busy.add(worker.incarnation)
         num_loading_by_model[model] += 1
-        moves.append(VersionMove(worker, model, named_versions[model]))
+        moves.append(VersionMove(worker, model, target_versions[model]))
     return moves
 
 
--- a/src/hollowrack/weights/version_reconciler.py
+++ b/src/hollowrack/weights/version_reconciler.py
@@ -32,8 +32,8 @@
 LOAD_DELAY_S = 0.8
 # Reports are polled from shortly before the expected end of a load.
 FIRST_LOAD_TIME_S = 0.9
-LOAD_TIME_SHARE = 0.9
-UNSEEN_LOAD_SHARE = 0.7
+LOAD_TIME_FRACTION = 0.9
+UNKNOWN_LOAD_TIME_FRACTION = 0.7
 NUM_LOAD_TIMES_KEPT = 16
 REPORT_POLL_INTERVAL_S = 0.1
 MAX_REPORT_POLLS = 100
@@ -106,7 +106,7 @@
         leadership: Whether this node may send orders.
         workers: The known workers.
         services: Returns the services of the configuration in force.
-        named_versions: Newest announced version by model; read on every check.
+        target_versions: Newest announced version by model; read on every check.
         client: Reads reports and sends orders.
     """
 
@@ -116,14 +116,14 @@
         leadership: Leadership,
         workers: WorkerDirectory,
         services: Callable[[], tuple[Service, ...]],
-        named_versions: Mapping[str, int],
+        target_versions: Mapping[str, int],
         client: OrderClient,
     ) -> None:
         self._node = node
         self._leadership = leadership
         self._workers = workers
         self._services = services
-        self._named_versions = named_versions
+        self._target_versions = target_versions
         self._client = client
         self._confirmed: dict[tuple[WorkerIncarnation, str], int] = {}
         self._moves: dict[WorkerIncarnation, asyncio.Task[None]] = {}
@@ -160,14 +160,14 @@
         self._remove_ended_incarnations()
         self._confirm_entries()
         held = dict(self._confirmed)
-        ready = {model for model in self._named_versions if self._is_ready(model)}
+        ready = {model for model in self._target_versions if self._is_ready(model)}
         for service in self._services():
             workers = self._workers.serving(service.name)
             plan = plan_loads(service.models, workers, held)
             target_versions = {
-                model: self._named_versions[model]
+                model: self._target_versions[model]
                 for model in service.models
-                if model in self._named_versions
+                if model in self._target_versions
             }
             max_concurrent = max_concurrent_loads(len(workers))
             for move in next_moves(
@@ -187,7 +187,7 @@
         A step's items may still use the previous version. Loads are delayed until those items have
         been sent to workers.
         """
-        key = (model, self._named_versions[model])
+        key = (model, self._target_versions[model])
         return now_s() >= self._ready_from_s.setdefault(key, now_s() + LOAD_DELAY_S)
 
     def _remove_move(self, incarnation: WorkerIncarnation, _: asyncio.Task[None]) -> None:
@@ -255,14 +255,14 @@
     async def _wait_until_loaded(self, move: VersionMove) -> None:
         """Wait for the end of a load that has just begun, and record its duration."""
         sent_s = now_s()
-        await asyncio.sleep(LOAD_TIME_SHARE * self._expected_load_duration_s())
+        await asyncio.sleep(LOAD_TIME_FRACTION * self._expected_load_duration_s())
         for num_polls in range(MAX_REPORT_POLLS):
             report = await self._report(move.worker)
             if report is None:
                 return
             if not report.is_busy:
                 # A load that ended before the first poll may have been much shorter.
-                fraction = 1.0 if num_polls else UNSEEN_LOAD_SHARE
+                fraction = 1.0 if num_polls else UNKNOWN_LOAD_TIME_FRACTION
                 self._load_durations_s.append(fraction * (now_s() - sent_s))
                 return
             await asyncio.sleep(REPORT_POLL_INTERVAL_S)
--- a/src/hollowrack_bench/baselines.py
+++ b/src/hollowrack_bench/baselines.py
@@ -8,7 +8,7 @@
 
 from hollowrack.results import Problem
 from hollowrack.routing.choice import Chooser, choose, eligible, no_back_end
-from hollowrack.routing.prefix import PrefixIndex
+from hollowrack.routing.prefix_index import PrefixIndex
 from hollowrack.routing.types import BackEnd, RouteChoice, RouteRequest
 
 
--- a/src/hollowrack_bench/capacity.py
+++ b/src/hollowrack_bench/capacity.py
@@ -277,8 +277,8 @@
             if load.num_live >= load.num_slots:
                 raise RuntimeError("the measured choice must find room")
             chosen = choose(route, fleet.snapshot(0.0, MODEL), fleet.prefixes, rng).unwrap()
-            fleet.note_sent(chosen.address, False, 0.0)
-            fleet.note_finished(chosen.address, False)
+            fleet.record_sent(chosen.address, False, 0.0)
+            fleet.record_finished(chosen.address, False)
         costs.append((time.process_time() - started_s) / PLACEMENTS_PER_SIZE)
     return fit("placement_cpu_per_back_end", "CPU s a back end", BACK_END_SIZES, costs)
 
--- a/src/hollowrack_bench/soak_worker_faults.py
+++ b/src/hollowrack_bench/soak_worker_faults.py
@@ -18,7 +18,7 @@
 MAX_SLOW_S = 1.2
 DEEP_NESTING = 20_000
 # Workers that start again may hold any older weights; the oldest are furthest behind.
-MIN_NAMED_VERSION = 1
+MIN_TARGET_VERSION = 1
 NUM_FOREIGN_KEYS = 5
 
 Pause = Callable[[], Awaitable[None]]
@@ -73,7 +73,7 @@
             self._write_entry(worker)
 
     async def _return(self, worker: PlatformWorkerStandin) -> None:
-        worker.start_again(MIN_NAMED_VERSION)
+        worker.start_again(MIN_TARGET_VERSION)
         await worker.server.start()
         self._away.discard(worker.id)
         self.restarted.append(WorkerIncarnation(worker.id, worker.started_ms))
--- a/src/hollowrack_standins/duty_service.py
+++ b/src/hollowrack_standins/duty_service.py
@@ -118,7 +118,7 @@
 
 _STATUSES = {
     DutyOutcome.ACCEPTED: 200,
-    DutyOutcome.UNAVAILABLE_HERE: 409,
+    DutyOutcome.UNAVAILABLE: 409,
     DutyOutcome.THROTTLED: 429,
     DutyOutcome.REFUSED: 400,
 }
--- a/src/hollowrack_standins/engine_core.py
+++ b/src/hollowrack_standins/engine_core.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from hollowrack.routing.prefix import prefix_blocks
+from hollowrack.routing.prefix_index import prefix_blocks
 
 MAX_EVENTS_KEPT = 4096
 
