--- a/src/hollowrack/replication/__init__.py
+++ b/src/hollowrack/replication/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated log: the one agreement primitive beneath sample ledgers and request claims."""
+"""Replicated log: consensus for sample ledgers and request claims."""
--- a/src/hollowrack/replication/client.py
+++ b/src/hollowrack/replication/client.py
@@ -1,4 +1,4 @@
-"""Finds the groups of the fleet and talks to their leaders, wherever they are."""
+"""Client of the replicated groups: finds and creates groups and sends requests to their leaders."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -27,10 +27,10 @@
 MAX_PEERS_ASKED = 8
 NO_LEADER_RETRY_AFTER_S = 1.0
 
-# Answers that prove that a request was not carried out by a leader.
-_NOT_DONE = frozenset({ResultCode.NOT_LEADER, ResultCode.GROUP_UNKNOWN})
-# Answers after which another member should be asked.
-_ASK_ELSEWHERE = _NOT_DONE | {
+# Results that prove that no leader executed the request.
+_NOT_EXECUTED = frozenset({ResultCode.NOT_LEADER, ResultCode.GROUP_UNKNOWN})
+# Results after which another member is tried.
+_TRY_OTHER_MEMBER = _NOT_EXECUTED | {
     ResultCode.PEER_UNREACHABLE,
     ResultCode.OUTCOME_UNKNOWN,
     ResultCode.DISK_FULL,
@@ -40,14 +40,16 @@
 
 
 class GroupClient:
-    """Access to all groups from one node.
+    """Client of all groups on one node.
+
+    It caches the membership of each group and the node that last led it.
 
     Args:
-        host: The node's own replicas.
-        links: How to reach other nodes.
-        directory: Where memberships are recorded.
-        repair: Announces new groups.
-        placement_of: Returns how a group wants to be placed.
+        host: Replicas of this node.
+        links: Links to the other nodes.
+        directory: Stores the memberships.
+        repair: Announces memberships to the members.
+        placement_of: Returns the placement of a group by its name.
     """
 
     def __init__(
@@ -66,16 +68,16 @@
         self._known: dict[str, Membership] = {}
         self._leader_hints: dict[str, str] = {}
 
-    # -- finding ----------------------------------------------------------------------------
+    # -- lookup -----------------------------------------------------------------------------
 
     async def ensure(self, group: str) -> Result[Membership, Problem]:
-        """Return the membership of a group, creating the group if nobody has yet."""
+        """Return the membership of a group; creates the group if it does not exist."""
         known = await self.find(group)
         if isinstance(known, Success):
             return known
         members = choose_members(group, self._placement_of(group), self._links)
         if not members:
-            detail = "no live node is known to hold the group"
+            detail = "no live node is known to hold a replica of the group"
             return Failure(Problem(ResultCode.NO_QUORUM, detail, group))
         created = await self._directory.create(group, members)
         if isinstance(created, Success):
@@ -84,8 +86,9 @@
         return created
 
     async def find(self, group: str) -> Result[Membership, Problem]:
-        """Return the membership of a group: from memory, from the store, or from peers.
+        """Return the membership of a group.
 
+        Looks at the own replica and the cache, then in the configuration store, then asks peers.
         Fails with ``GROUP_UNKNOWN``.
         """
         own = self._host.describe(group).membership or self._known.get(group)
@@ -93,23 +96,25 @@
             return Success(own)
         stored = (await self._directory.read(group)).value_or(None)
         if stored is None:
-            await self._ask_about(group, self._links.candidates(group)[:MAX_PEERS_ASKED])
+            await self._query_nodes(group, self._links.candidates(group)[:MAX_PEERS_ASKED])
             stored = self._known.get(group)
         if stored is None:
-            return Failure(Problem(ResultCode.GROUP_UNKNOWN, "the group is not known", group))
-        self._note(group, stored)
+            return Failure(
+                Problem(ResultCode.GROUP_UNKNOWN, "no membership of the group was found", group)
+            )
+        self._update_known(group, stored)
         return Success(self._known[group])
 
     async def _refresh(self, group: str, membership: Membership) -> None:
-        """Look again who the members are and who leads, with the members first."""
+        """Update the membership and the leader hint from the members, else from the store."""
         members = sorted({node_of(member) for member in membership.electors()})
-        if not await self._ask_about(group, members):
+        if not await self._query_nodes(group, members):
             stored = (await self._directory.read(group)).value_or(None)
             if stored is not None:
-                self._note(group, stored)
+                self._update_known(group, stored)
 
-    async def _ask_about(self, group: str, nodes: list[str]) -> bool:
-        """Ask nodes what they know of a group; returns whether any of them knew a leader."""
+    async def _query_nodes(self, group: str, nodes: list[str]) -> bool:
+        """Query nodes for a group's membership and leader; returns whether a leader was found."""
         others = [node for node in nodes if node != self._host.node]
         requests = [
             self._links.request(node, FindGroup(group), LOOKUP_TIMEOUT_S) for node in others
@@ -123,7 +128,7 @@
         ]
         for answer in found:
             if answer.membership is not None:
-                self._note(group, answer.membership)
+                self._update_known(group, answer.membership)
         newest = self._known.get(group)
         leaders = [
             node_of(answer.leader)
@@ -134,29 +139,29 @@
             self._leader_hints[group] = max(set(leaders), key=leaders.count)
         return bool(leaders)
 
-    def _note(self, group: str, membership: Membership) -> None:
+    def _update_known(self, group: str, membership: Membership) -> None:
         known = self._known.get(group)
         if known is None or membership.epoch >= known.epoch:
             self._known[group] = membership
 
     async def has_leader(self, group: str) -> bool:
-        """Ask the members of a group whether any of them knows a leader."""
+        """Return whether any member of a group knows its leader."""
         found = await self.find(group)
         if isinstance(found, Failure):
             return False
         members = sorted({node_of(member) for member in found.unwrap().electors()})
-        return await self._ask_about(group, members)
+        return await self._query_nodes(group, members)
 
     async def refound(self, group: str) -> Result[Membership, Problem]:
-        """Open a new epoch of a group without its earlier members, for groups without state.
+        """Start a new epoch without a quorum of the earlier members, for groups without state.
 
-        An earlier leader that still believes to lead is fenced off by its older token alone.
+        An earlier leader that is still active is fenced off only by its lower fencing token.
         """
         stored = await self._directory.read(group)
         current = stored.value_or(None)
         members = choose_members(group, self._placement_of(group), self._links)
         if current is None or not members:
-            detail = "no membership is recorded, or no live node is known"
+            detail = "the group has no stored membership, or no live node is known"
             return Failure(Problem(ResultCode.NO_QUORUM, detail, group))
         changed = await self._directory.change(group, current, members)
         if isinstance(changed, Failure):
@@ -165,17 +170,17 @@
         activated = await self._directory.activate(group, membership.epoch)
         if isinstance(activated, Failure):
             return activated
-        self._note(group, membership)
+        self._update_known(group, membership)
         await self._repair.announce(group, membership, membership.members)
         return Success(membership)
 
-    # -- asking the leader ------------------------------------------------------------------
+    # -- calls to the leader ----------------------------------------------------------------
 
     async def propose(self, group: str, command: bytes, timeout_s: float) -> Result[bytes, Problem]:
-        """Commit a command wherever the group's leader is.
+        """Commit a command through the group's leader.
 
-        Commands must be safe to repeat: after a lost answer the command is proposed again. Fails
-        with ``NO_QUORUM`` if the command was never handed to a leader, else ``OUTCOME_UNKNOWN``.
+        Commands must be idempotent: after a lost answer the command is proposed again. Fails with
+        ``NO_QUORUM`` if certainly no leader received it, otherwise with ``OUTCOME_UNKNOWN``.
         """
 
         async def ask(node: str) -> Result[bytes, Problem]:
@@ -193,49 +198,49 @@
         ask: Callable[[str], Awaitable[Result[Answer, Problem]]],
         timeout_s: float,
     ) -> Result[Answer, Problem]:
-        """Ask the group's leader, following hints and looking again until it is found.
+        """Call the group's leader; tries members and follows their hints until it is found.
 
         Args:
-            group: The group.
-            ask: Asks one node; ``NOT_LEADER`` and the like send the search on.
-            timeout_s: Longest time until the last attempt starts.
+            group: Name of the group.
+            ask: Calls one node; on ``NOT_LEADER`` and similar results another member is tried.
+            timeout_s: Time until the last attempt may start, in seconds.
         """
         deadline_s = now_s() + timeout_s
-        may_have_run = False
+        may_have_executed = False
         last: Problem | None = None
         while True:
             found = await self.find(group)
             if isinstance(found, Failure):
                 return found
-            for node in self._by_likelihood(group, found.unwrap()):
+            for node in self._ordered_nodes(group, found.unwrap()):
                 result = await ask(node)
                 if isinstance(result, Success):
                     self._leader_hints[group] = node
                     return result
                 last = result.failure()
-                if last.code not in _ASK_ELSEWHERE:
+                if last.code not in _TRY_OTHER_MEMBER:
                     return result
-                may_have_run = may_have_run or last.code not in _NOT_DONE
-                if now_s() >= deadline_s or self._follow_hint(group, node, last):
+                may_have_executed = may_have_executed or last.code not in _NOT_EXECUTED
+                if now_s() >= deadline_s or self._update_leader_hint(group, node, last):
                     break
             if now_s() >= deadline_s:
-                code = ResultCode.OUTCOME_UNKNOWN if may_have_run else ResultCode.NO_QUORUM
-                detail = f"no leader answered in time (last: {last})"
+                code = ResultCode.OUTCOME_UNKNOWN if may_have_executed else ResultCode.NO_QUORUM
+                detail = f"no leader answered before the deadline (last result: {last})"
                 return Failure(Problem(code, detail, group, NO_LEADER_RETRY_AFTER_S))
             await asyncio.sleep(RETRY_INTERVAL_S)
             await self._refresh(group, found.unwrap())
 
-    def _follow_hint(self, group: str, asked: str, problem: Problem) -> bool:
-        """Remember the leader a member named; returns whether it is worth asking next."""
-        named = problem.detail if problem.code is ResultCode.NOT_LEADER else ""
-        if named and named != asked:
-            self._leader_hints[group] = named
+    def _update_leader_hint(self, group: str, asked: str, problem: Problem) -> bool:
+        """Update the leader hint from a failed call; returns whether another node was named."""
+        hinted = problem.detail if problem.code is ResultCode.NOT_LEADER else ""
+        if hinted and hinted != asked:
+            self._leader_hints[group] = hinted
             return True
         if self._leader_hints.get(group) == asked:
             del self._leader_hints[group]
         return False
 
-    def _by_likelihood(self, group: str, membership: Membership) -> list[str]:
+    def _ordered_nodes(self, group: str, membership: Membership) -> list[str]:
         nodes = sorted({node_of(member) for member in membership.members})
         hint = self._leader_hints.get(group)
         own_leader = self._host.describe(group).leader
--- a/src/hollowrack/replication/directory.py
+++ b/src/hollowrack/replication/directory.py
@@ -1,8 +1,7 @@
-"""Where the membership of each group is recorded, and how it changes.
+"""Directory of the groups' memberships in the configuration store.
 
-The configuration store holds one key per group and epoch, created and never overwritten, and one
-key with the last activated epoch. Two operators, nodes or retries can therefore never give one
-epoch two memberships.
+The store holds one key per group and epoch, which is created but never overwritten, and one key
+with the last activated epoch. Concurrent changes can therefore not give an epoch two memberships.
 """
 
 import cbor2
@@ -21,7 +20,7 @@
     """Reads and changes memberships in the configuration store.
 
     Args:
-        store: Client of the configuration store.
+        store: Client of the store that holds the memberships.
     """
 
     def __init__(self, store: ConfigStoreClient) -> None:
@@ -35,7 +34,7 @@
     async def create(
         self, group: str, members: tuple[ReplicaId, ...]
     ) -> Result[Membership, Problem]:
-        """Create a group; if it exists already, return the membership it has."""
+        """Create a group; if it already exists, return its membership."""
         key = _epoch_key(group, _FIRST_EPOCH)
         created = await self._store.create(key, cbor2.dumps(list(members)))
         if isinstance(created, Failure):
@@ -47,7 +46,7 @@
     async def change(
         self, group: str, current: Membership, members: tuple[ReplicaId, ...]
     ) -> Result[Membership, Problem]:
-        """Record the successor of ``current``; the winner of a race is returned to all."""
+        """Store the successor of ``current``; concurrent callers get the one that was stored."""
         successor = current.successor(members)
         created = await self._store.create(
             _epoch_key(group, successor.epoch),
@@ -61,14 +60,14 @@
     async def activate(self, group: str, epoch: int) -> Result[None, Problem]:
         """Record that a majority of the epoch's members holds all earlier state.
 
-        A late write of a lower epoch is harmless: readers then ask more replicas than they must.
+        A late write of a lower epoch is safe: candidates then need votes of more replicas.
         """
         return await self._store.put(f"{_ROOT}/{group}/active", cbor2.dumps(epoch))
 
     async def _read_existing(self, group: str) -> Result[Membership, Problem]:
         def require(membership: Membership | None) -> Result[Membership, Problem]:
             if membership is None:
-                detail = "the group's records are missing from the configuration store"
+                detail = "the configuration store holds no membership of the group"
                 return Failure(Problem(ResultCode.PLATFORM_ANSWER_INVALID, detail, group))
             return Success(membership)
 
--- a/src/hollowrack/replication/group_messages.py
+++ b/src/hollowrack/replication/group_messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes about replicated groups as a whole."""
+"""Messages between nodes that concern a whole replicated group."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 @message("groups.propose")
 @dataclass(frozen=True)
 class ProposeRequest:
-    """Asks a node that should lead the group to commit a command."""
+    """Requests the commit of a command from the node that is believed to lead the group."""
 
     group: str
     command: bytes
@@ -18,7 +18,7 @@
 @message("groups.outcome")
 @dataclass(frozen=True)
 class ProposeAnswer:
-    """What the state machine returned for a committed command."""
+    """Result of the state machine for a committed command."""
 
     outcome: bytes
 
@@ -26,7 +26,7 @@
 @message("groups.find")
 @dataclass(frozen=True)
 class FindGroup:
-    """Asks a node what it knows of a group."""
+    """Requests the membership and leader of a group as known to a node."""
 
     group: str
 
@@ -34,7 +34,7 @@
 @message("groups.found")
 @dataclass(frozen=True)
 class GroupFound:
-    """The membership of a group as one node knows it, and who leads it."""
+    """Membership and leader of a group as known to a node; ``None`` if unknown."""
 
     membership: Membership | None
     leader: ReplicaId | None
@@ -43,7 +43,7 @@
 @message("groups.join")
 @dataclass(frozen=True)
 class JoinGroup:
-    """Tells a node that it is a member of a group from this membership on."""
+    """Announces a membership of a group to a node, which starts a replica if it is a member."""
 
     group: str
     membership: Membership
@@ -52,6 +52,6 @@
 @message("groups.joined")
 @dataclass(frozen=True)
 class Joined:
-    """The node runs its replica."""
+    """Confirms that the node runs its replica."""
 
     replica: ReplicaId
--- a/src/hollowrack/replication/host.py
+++ b/src/hollowrack/replication/host.py
@@ -1,4 +1,4 @@
-"""Runs the replicas of one node."""
+"""Host of the replicas of one node: timers, storage, messages and proposals."""
 
 import asyncio
 import random
@@ -29,7 +29,7 @@
 TICK_INTERVAL_S = 0.02
 PROPOSAL_TIMEOUT_S = 3.0
 
-# A replica from a journal learns its membership from the records.
+# Initial membership of a replica that is restored from its journal.
 _NO_MEMBERSHIP = Membership(0, ())
 
 StateMachineFactory = Callable[[str], StateMachine]
@@ -37,13 +37,13 @@
 
 @dataclass
 class HostedGroup:
-    """One group of which this node runs a replica.
+    """Replica of one group on this node.
 
     Attributes:
-        replica: The replica.
-        state_machine: The state that it drives.
-        storage: Where the replica's records go.
-        waiting: Proposals of this leader by log index.
+        replica: Protocol state.
+        state_machine: Applies the group's committed commands.
+        storage: Stores the replica's records.
+        waiting: Futures of the proposals that are not committed yet, by log index.
     """
 
     replica: Replica
@@ -53,15 +53,15 @@
 
 
 class GroupHost:
-    """All replicas of one node.
+    """Runs all replicas of one node.
 
     Args:
-        node: Identifier of this node.
-        incarnation: Identifier of this node's memory; the same after a restart only with a disk.
-        links: How to reach other nodes.
-        make_state_machine: Returns the initial state of a group by its name.
-        journals: The node's journals; without them replicas live in memory only.
-        seed: Seed of the election jitter.
+        node: Name of this node.
+        incarnation: Incarnation of this node; survives a restart only with a data directory.
+        links: Links to the other nodes.
+        make_state_machine: Returns the initial state machine of a group by its name.
+        journals: Journals of the node; ``None`` keeps the replicas in memory only.
+        seed: Seed of the election timeouts; ``None`` for a random one.
     """
 
     def __init__(
@@ -83,29 +83,29 @@
         self._task: asyncio.Task[None] | None = None
         self._is_stopping = False
 
-    # -- life -------------------------------------------------------------------------------
+    # -- start and stop ---------------------------------------------------------------------
 
     def start(self) -> None:
-        """Take up the replicas of an earlier life and start the timers."""
+        """Restore the replicas from their journals and start the timers."""
         if self._journals is not None:
             for group, content in self._journals.loaded.items():
                 self._start_replica(group, _NO_MEMBERSHIP, content.records)
         self._task = asyncio.create_task(self._run_timers())
 
     def resign(self) -> None:
-        """Hand leaderships over; the replicas go on as followers until :meth:`close`."""
+        """Transfer all leaderships; the replicas continue as followers until :meth:`close`."""
         self._is_stopping = True
         for group, hosted in list(self.groups.items()):
-            self._act(group, hosted, Replica.resign)
+            self._run_action(group, hosted, Replica.resign)
 
     def abandon(self) -> None:
-        """Drop all replicas at once, as a crash would."""
+        """Discard all replicas at once, as in a crash."""
         for hosted in self.groups.values():
             hosted.storage.close()
         self.groups = {}
 
     async def close(self) -> None:
-        """Stop the timers and drop the replicas."""
+        """Stop the timers and discard the replicas."""
         await cancel_all(self._task)
         self.abandon()
 
@@ -114,80 +114,88 @@
             await asyncio.sleep(TICK_INTERVAL_S)
             tick = methodcaller("tick", now_s())
             for group, hosted in list(self.groups.items()):
-                self._act(group, hosted, tick)
+                self._run_action(group, hosted, tick)
 
     # -- replicas ---------------------------------------------------------------------------
 
     def join(self, group: str, membership: Membership) -> None:
-        """Run a replica of a group from this membership on, or take in a newer membership.
+        """Apply a membership: starts a replica if this node is a member, removes one that is not.
 
         Raises:
             ProblemError: ``DISK_FULL`` if a new journal cannot be written.
         """
         hosted = self.groups.get(group)
         if hosted is not None:
-            self._act(group, hosted, methodcaller("adopt_membership", membership))
-            if self._is_dispensable(hosted.replica):
-                self._drop(group, hosted)
+            self._run_action(group, hosted, methodcaller("adopt_membership", membership))
+            if self._is_removed_member(hosted.replica):
+                self._remove_replica(group, hosted)
         elif self.replica_id in membership.members:
             self._start_replica(group, membership, ())
 
     def receive(self, envelope: Envelope) -> None:
-        """Handle a replica message; one for another incarnation of this node is dropped."""
+        """Handle a replica message; drops messages to other incarnations of this node."""
         hosted = self.groups.get(envelope.group)
         if hosted is None or envelope.recipient != self.replica_id:
             return
         decoded = codec.decode(envelope.body)
         if isinstance(decoded, Failure):
-            logging.warning("replica message dropped: %s", decoded.failure())
+            logging.warning("replica message could not be decoded, dropped: %s", decoded.failure())
             return
         receive = methodcaller("receive", envelope.sender, decoded.unwrap())
-        self._act(envelope.group, hosted, receive)
+        self._run_action(envelope.group, hosted, receive)
 
     def leads(self, group: str) -> bool:
-        """Whether this node's replica leads the group, as far as it knows."""
+        """Whether this node's replica believes to be the group's leader."""
         hosted = self.groups.get(group)
         return hosted is not None and hosted.replica.role is Role.LEADER
 
     def describe(self, group: str) -> GroupFound:
-        """Return what this node's replica knows of a group."""
+        """Return membership and leader of a group as known to this node's replica."""
         hosted = self.groups.get(group)
         if hosted is None:
             return GroupFound(None, None)
         return GroupFound(hosted.replica.membership, hosted.replica.leader)
 
     async def propose(self, group: str, command: bytes) -> Result[bytes, Problem]:
-        """Commit a command through this node's replica, if it leads.
+        """Commit a command through this node's replica, if it is the leader.
 
-        Fails with ``GROUP_UNKNOWN`` or ``NOT_LEADER`` (its detail names the leader, if known) when
-        nothing was proposed, and with ``OUTCOME_UNKNOWN`` or ``DISK_FULL`` otherwise.
+        Fails with ``GROUP_UNKNOWN`` or ``NOT_LEADER`` (its detail is the leader's node, if known)
+        if nothing was proposed, otherwise with ``OUTCOME_UNKNOWN`` or ``DISK_FULL``.
         """
         hosted = self.groups.get(group)
         if hosted is None:
-            return Failure(Problem(ResultCode.GROUP_UNKNOWN, "no replica here", group))
+            return Failure(
+                Problem(ResultCode.GROUP_UNKNOWN, "this node runs no replica of the group", group)
+            )
         try:
             index = None if self._is_stopping else hosted.replica.propose(command)
         except ProblemError as error:
-            self._give_up(group, hosted, error.problem)
+            self._stop_replica(group, hosted, error.problem)
             return Failure(error.problem)
         if index is None:
             leader = hosted.replica.leader or ""
             return Failure(Problem(ResultCode.NOT_LEADER, node_of(leader), group))
         future: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         hosted.waiting[index] = future
-        # Let proposals made in the same turn of the loop share one message and one flush.
+        # Batches proposals of the same event loop iteration into one message and one flush.
         await asyncio.sleep(0)
-        self._act(group, hosted, Replica.replicate)
+        self._run_action(group, hosted, Replica.replicate)
         try:
             async with asyncio.timeout(PROPOSAL_TIMEOUT_S):
                 return Success(await future)
         except TimeoutError:
             hosted.waiting.pop(index, None)
-            return Failure(Problem(ResultCode.OUTCOME_UNKNOWN, "no quorum answered", group))
+            return Failure(
+                Problem(
+                    ResultCode.OUTCOME_UNKNOWN,
+                    "no quorum accepted the proposal before the timeout",
+                    group,
+                )
+            )
         except ProblemError as error:
             return Failure(error.problem)
 
-    # -- inside -----------------------------------------------------------------------------
+    # -- internals --------------------------------------------------------------------------
 
     def _start_replica(
         self, group: str, membership: Membership, records: tuple[StorageRecord, ...]
@@ -201,29 +209,33 @@
             replica.replay(record)
         self.groups[group] = HostedGroup(replica, state_machine, storage, {})
 
-    def _is_dispensable(self, replica: Replica) -> bool:
-        """Whether the group has an activated epoch that does without this replica."""
+    def _is_removed_member(self, replica: Replica) -> bool:
+        """Whether the group's active epoch does not include this replica."""
         membership = replica.membership
         return replica.id not in membership.members and not membership.previous
 
-    def _drop(self, group: str, hosted: HostedGroup) -> None:
-        self._fail_waiting(hosted, Problem(ResultCode.OUTCOME_UNKNOWN, "the replica was replaced"))
+    def _remove_replica(self, group: str, hosted: HostedGroup) -> None:
+        self._fail_proposals(
+            hosted, Problem(ResultCode.OUTCOME_UNKNOWN, "the replica was removed from the group")
+        )
         hosted.storage.close()
         self.groups.pop(group, None)
         if self._journals is not None:
             self._journals.forget(group)
 
-    def _act(self, group: str, hosted: HostedGroup, action: Callable[[Replica], object]) -> None:
-        """Let a replica act, then make its records durable and send what it has to say."""
+    def _run_action(
+        self, group: str, hosted: HostedGroup, action: Callable[[Replica], object]
+    ) -> None:
+        """Run an action of a replica, then flush its records and send its messages."""
         try:
             action(hosted.replica)
             if hosted.replica.outbox or hosted.replica.applied:
                 hosted.storage.flush()
         except ProblemError as error:
-            self._give_up(group, hosted, error.problem)
+            self._stop_replica(group, hosted, error.problem)
             return
         self._send_outbox(group, hosted.replica)
-        self._resolve_waiting(hosted)
+        self._resolve_proposals(hosted)
 
     def _send_outbox(self, group: str, replica: Replica) -> None:
         outbox, replica.outbox = replica.outbox, []
@@ -232,23 +244,25 @@
             envelope = Envelope(group, self.replica_id, outgoing.recipient, body)
             self._links.post(node_of(outgoing.recipient), envelope)
 
-    def _resolve_waiting(self, hosted: HostedGroup) -> None:
+    def _resolve_proposals(self, hosted: HostedGroup) -> None:
         applied, hosted.replica.applied = hosted.replica.applied, []
         for entry in applied:
             future = hosted.waiting.pop(entry.index, None)
             if future is not None and not future.done():
                 future.set_result(entry.outcome)
         if hosted.waiting and hosted.replica.role is not Role.LEADER:
-            problem = Problem(ResultCode.OUTCOME_UNKNOWN, "the leader was replaced")
-            self._fail_waiting(hosted, problem)
+            problem = Problem(
+                ResultCode.OUTCOME_UNKNOWN, "this replica lost its leadership before the commit"
+            )
+            self._fail_proposals(hosted, problem)
 
-    def _give_up(self, group: str, hosted: HostedGroup, problem: Problem) -> None:
-        """Stop a replica whose disk failed: it must not act on what it could not remember."""
+    def _stop_replica(self, group: str, hosted: HostedGroup, problem: Problem) -> None:
+        """Stop a replica whose storage failed, since its promises may not be durable."""
         logging.error("replica of %s stopped: %s", group, problem)
         self.groups.pop(group, None)
-        self._fail_waiting(hosted, problem)
+        self._fail_proposals(hosted, problem)
 
-    def _fail_waiting(self, hosted: HostedGroup, problem: Problem) -> None:
+    def _fail_proposals(self, hosted: HostedGroup, problem: Problem) -> None:
         waiting, hosted.waiting = hosted.waiting, {}
         for future in waiting.values():
             if not future.done():
--- a/src/hollowrack/replication/journal.py
+++ b/src/hollowrack/replication/journal.py
@@ -1,13 +1,13 @@
-"""Journals of a node's replicas under its data folder.
+"""Journals of a node's replicas: write-ahead logs in its data folder.
 
-One folder holds a manifest and one journal a group. The manifest names the node's incarnation and
-the groups whose journals must be there. If one of them is missing or damaged, the node has lost
-part of what it promised, so the whole folder is set aside and the node starts under a new
-incarnation; it then holds no vote of the old one.
+The folder holds a manifest and one journal per group. The manifest contains the node's incarnation
+and the groups whose journals must exist. If a journal is missing or corrupt, promises may be lost:
+all files are moved to a subfolder and the node starts with a new incarnation, which has no votes of
+the old one.
 
-Journal record: 4-byte length, 8-byte xxHash of the payload, payload (an encoded storage record). A
-record that ends beyond the end of the file was never flushed: it is cut off and reported. A record
-with a wrong hash and others behind it is damage.
+A journal record consists of the 4-byte length of the payload, its 8-byte xxHash and the payload, an
+encoded storage record. An incomplete last record was never flushed; it is truncated with a warning.
+A record with a wrong hash that is followed by others means corruption.
 """
 
 import os
@@ -36,7 +36,7 @@
 @message("journal.manifest")
 @dataclass(frozen=True)
 class Manifest:
-    """What a journal folder must hold."""
+    """Incarnation of a node and the groups that have a journal."""
 
     incarnation: str
     groups: tuple[str, ...] = ()
@@ -44,7 +44,13 @@
 
 @dataclass(frozen=True)
 class JournalContent:
-    """The records of a journal, and how many bytes of a torn tail were cut off."""
+    """Content of a journal file.
+
+    Attributes:
+        records: Complete records in order.
+        num_valid_bytes: Size of these records.
+        num_torn_bytes: Size of the incomplete record after them.
+    """
 
     records: tuple[StorageRecord, ...]
     num_valid_bytes: int
@@ -52,17 +58,17 @@
 
 
 def encode_record(record: StorageRecord) -> bytes:
-    """Return a record as it stands in a journal."""
+    """Encode a record as in a journal file."""
     payload = codec.encode(record)
     return _HEADER.pack(len(payload), xxhash.xxh64_intdigest(payload)) + payload
 
 
 def read_journal(path: Path) -> Result[JournalContent, Problem]:
-    """Read a journal; fails with ``JOURNAL_CORRUPT`` for damage before the last record."""
+    """Read a journal; fails with ``JOURNAL_CORRUPT`` if a record before the last is corrupt."""
     try:
         data = path.read_bytes()
     except OSError as error:
-        return _corrupt(path, 0, error.strerror or str(error))
+        return _corruption(path, 0, error.strerror or str(error))
     records: list[StorageRecord] = []
     position = 0
     while position < len(data):
@@ -74,10 +80,10 @@
         if xxhash.xxh64_intdigest(payload) != checksum:
             if end == len(data):
                 break
-            return _corrupt(path, position, "checksum does not match")
+            return _corruption(path, position, "checksum of the record does not match")
         decoded = codec.decode(payload)
         if isinstance(decoded, Failure):
-            return _corrupt(path, position, decoded.failure().detail)
+            return _corruption(path, position, decoded.failure().detail)
         records.append(decoded.unwrap())
         position = end
     return Success(JournalContent(tuple(records), position, len(data) - position))
@@ -91,16 +97,16 @@
     return end if end <= len(data) else None
 
 
-def _corrupt(path: Path, position: int, detail: str) -> Failure[Problem]:
+def _corruption(path: Path, position: int, detail: str) -> Failure[Problem]:
     return Failure(Problem(ResultCode.JOURNAL_CORRUPT, detail, f"{path.name} byte {position}"))
 
 
 class JournalStorage:
-    """The journal of one group, open for appending.
+    """Storage of one replica in a journal file.
 
     Args:
-        path: Its file.
-        num_valid_bytes: Where its last whole record ends.
+        path: Existing journal file.
+        num_valid_bytes: End of its last complete record; the file is truncated there.
     """
 
     def __init__(self, path: Path, num_valid_bytes: int = 0) -> None:
@@ -109,10 +115,10 @@
         self._is_dirty = False
 
     def record(self, record: StorageRecord) -> None:
-        """Append a record; a compacted one starts a new file.
+        """Append a record; a :class:`Compacted` record replaces the whole file.
 
         Raises:
-            ProblemError: ``DISK_FULL`` if the disk cannot take it.
+            ProblemError: ``DISK_FULL`` if the file cannot be written.
         """
         try:
             if isinstance(record, Compacted):
@@ -127,7 +133,7 @@
         """Make all records durable.
 
         Raises:
-            ProblemError: ``DISK_FULL`` if the disk cannot take them.
+            ProblemError: ``DISK_FULL`` if the file cannot be written.
         """
         if not self._is_dirty:
             return
@@ -139,7 +145,7 @@
         self._is_dirty = False
 
     def close(self) -> None:
-        """Close the file; what was not flushed may be lost."""
+        """Close the file; records that were not flushed may be lost."""
         try:
             self._file.close()
         except OSError as error:
@@ -162,10 +168,10 @@
 
 
 def write_durably(path: Path, data: bytes) -> None:
-    """Replace a file's content, all or nothing.
+    """Replace a file's content atomically and durably.
 
     Raises:
-        OSError: If the disk cannot take it; the old content stays.
+        OSError: If it cannot be written; the file keeps its old content.
     """
     temporary = path.with_name(path.name + _TEMPORARY_SUFFIX)
     with temporary.open("wb") as file:
@@ -185,10 +191,10 @@
 
 
 class JournalFolder:
-    """All journals of a node.
+    """Manifest and journals of a node.
 
     Args:
-        folder: The folder; created if it does not exist.
+        folder: Folder of the files; created if it does not exist.
 
     Raises:
         OSError: If the folder cannot be written.
@@ -202,11 +208,11 @@
 
     @property
     def incarnation(self) -> str:
-        """Identity of what the folder remembers."""
+        """Incarnation of the node whose promises the journals contain."""
         return self._manifest.incarnation
 
     def storage(self, group: str) -> JournalStorage:
-        """Open a group's journal for appending; a new group is entered in the manifest first.
+        """Open a group's journal for appending; creates it and its manifest entry if necessary.
 
         Raises:
             ProblemError: ``DISK_FULL`` if the manifest cannot be written.
@@ -217,7 +223,7 @@
         groups = (*self._manifest.groups, group)
         path = self._path(group)
         try:
-            # The journal comes first: a manifest must never name a file that is not there.
+            # The journal is created first: a manifest entry without its file means data loss.
             write_durably(path, b"")
             self._write_manifest(Manifest(self._manifest.incarnation, groups))
         except OSError as error:
@@ -225,7 +231,7 @@
         return JournalStorage(path)
 
     def forget(self, group: str) -> None:
-        """Remove a group's journal; the manifest forgets it first."""
+        """Remove a group's journal, after its entry in the manifest."""
         groups = tuple(name for name in self._manifest.groups if name != group)
         try:
             self._write_manifest(Manifest(self._manifest.incarnation, groups))
@@ -237,15 +243,15 @@
     def _load(self) -> Manifest:
         manifest = self._read_manifest()
         if manifest is None:
-            return self._start_over("no usable manifest")
+            return self._reset("manifest is missing or cannot be decoded")
         for group in manifest.groups:
             content = read_journal(self._path(group))
             if isinstance(content, Failure):
-                return self._start_over(str(content.failure()))
+                return self._reset(str(content.failure()))
             self.loaded[group] = content.unwrap()
             if content.unwrap().num_torn_bytes:
                 logging.warning(
-                    "journal of %s: a torn tail of %d bytes was cut off",
+                    "journal of %s: incomplete last record of %d bytes truncated",
                     group,
                     content.unwrap().num_torn_bytes,
                 )
@@ -259,17 +265,17 @@
         decoded = codec.decode(data).value_or(None)
         return decoded if isinstance(decoded, Manifest) else None
 
-    def _start_over(self, reason: str) -> Manifest:
-        """Set aside whatever is here and begin under a new incarnation."""
+    def _reset(self, reason: str) -> Manifest:
+        """Move all files to a subfolder and start with a new incarnation."""
         self.loaded = {}
         incarnation = uuid.uuid4().hex
-        leftovers = [path for path in self._folder.iterdir() if path.is_file()]
-        if leftovers:
-            logging.error("journals set aside, new incarnation: %s", reason)
-            aside = self._folder / f"lost-{incarnation}"
-            aside.mkdir()
-            for path in leftovers:
-                path.rename(aside / path.name)
+        files = [path for path in self._folder.iterdir() if path.is_file()]
+        if files:
+            logging.error("journals moved aside, starting with a new incarnation: %s", reason)
+            backup = self._folder / f"lost-{incarnation}"
+            backup.mkdir()
+            for path in files:
+                path.rename(backup / path.name)
         manifest = Manifest(incarnation)
         self._write_manifest(manifest)
         return manifest
--- a/src/hollowrack/replication/links.py
+++ b/src/hollowrack/replication/links.py
@@ -1,4 +1,4 @@
-"""How the replicated groups of a node reach other nodes."""
+"""Interface of the replicated groups to the other nodes."""
 
 from typing import Any, Protocol
 
@@ -8,25 +8,25 @@
 
 
 class NodeLinks(Protocol):
-    """Links to other nodes and what is known of them."""
+    """Connections to other nodes and the membership view of this node."""
 
     async def request(self, node: str, message: object, timeout_s: float) -> Result[Any, Problem]:
-        """Send a message and wait for its answer."""
+        """Send a request and wait for its answer."""
 
     def post(self, node: str, message: object) -> None:
-        """Send a message that may be lost."""
+        """Send a one-way message without a delivery guarantee."""
 
     def is_reachable(self, node: str) -> bool:
-        """Whether a node is believed to run in a zone that answers."""
+        """Whether a node is not known to be dead and its zone is reachable."""
 
     def incarnation_of(self, node: str) -> str | None:
-        """The incarnation a node announced last, if any is known."""
+        """Return the last incarnation announced by a node; ``None`` if unknown."""
 
     def is_retiring(self, node: str) -> bool:
-        """Whether a node is leaving, was declared dead by its own zone, or was never heard of."""
+        """Whether a node is leaving, declared dead by its own zone, or unknown."""
 
     def candidates(self, key: str, preferred_zone: str | None = None) -> list[str]:
-        """Live nodes in the order in which they should hold ``key``, zones taking turns.
+        """Return the live nodes in the order in which they should store ``key``.
 
-        With a preferred zone, its nodes come first.
+        The order alternates between zones; nodes of the preferred zone come first.
         """
--- a/src/hollowrack/replication/log.py
+++ b/src/hollowrack/replication/log.py
@@ -1,13 +1,13 @@
-"""The log of one replica: a snapshot and the entries after it."""
+"""Log of one replica: a snapshot and the entries after it."""
 
 from hollowrack.replication.messages import Snapshot
 
 
 class ReplicaLog:
-    """Entries numbered from one; those up to the snapshot's index are dropped.
+    """Log entries; indexes start at 1, and entries up to the snapshot's index are removed.
 
     Attributes:
-        snapshot: State of everything before the first kept entry.
+        snapshot: State after all removed entries.
         entries: Commands after the snapshot, in order.
     """
 
@@ -21,28 +21,28 @@
         return self.snapshot.index + len(self.entries)
 
     def entry(self, index: int) -> bytes:
-        """Return the command at ``index``, which must be kept."""
+        """Return the command at ``index``, which must be above the snapshot's index."""
         return self.entries[index - self.snapshot.index - 1]
 
     def after(self, index: int) -> tuple[bytes, ...]:
-        """Return all commands after ``index``, which must not be below the snapshot."""
+        """Return all commands after ``index``, which must not be below the snapshot's index."""
         return tuple(self.entries[index - self.snapshot.index :])
 
     def append(self, command: bytes) -> None:
-        """Append one command."""
+        """Append a command."""
         self.entries.append(command)
 
     def replace_after(self, index: int, entries: tuple[bytes, ...]) -> None:
-        """Drop everything after ``index`` and put ``entries`` there."""
+        """Replace all entries after ``index`` by ``entries``."""
         del self.entries[index - self.snapshot.index :]
         self.entries.extend(entries)
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replace the log by a snapshot."""
+        """Replace the whole log by a snapshot."""
         self.snapshot = snapshot
         self.entries = []
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Drop the entries that a snapshot of this replica's own state covers."""
+        """Remove the entries covered by a snapshot of this replica's state."""
         del self.entries[: snapshot.index - self.snapshot.index]
         self.snapshot = snapshot
--- a/src/hollowrack/replication/messages.py
+++ b/src/hollowrack/replication/messages.py
@@ -17,10 +17,10 @@
 @message("replication.envelope")
 @dataclass(frozen=True)
 class Envelope:
-    """Carries one replica message; ``body`` is an encoded message of this module.
+    """Envelope of a replica message; ``body`` is an encoded message of this module.
 
-    The recipient's incarnation is part of the address, so that a message for a replica which lost
-    its memory never reaches its successor.
+    The recipient contains its incarnation, so a message to a replica that lost its state is not
+    delivered to the next incarnation.
     """
 
     group: str
@@ -32,7 +32,7 @@
 @message("replication.prepare")
 @dataclass(frozen=True)
 class Prepare:
-    """Phase one: a candidate asks for a promise."""
+    """Phase one: a candidate requests a promise."""
 
     ballot: Ballot
     membership: Membership
@@ -41,7 +41,7 @@
 @message("replication.promise")
 @dataclass(frozen=True)
 class Promise:
-    """A replica will accept nothing below ``ballot``; says how far its own log goes."""
+    """Promise to accept no lower ballot, with the state of the replica's log."""
 
     ballot: Ballot
     accepted_ballot: Ballot
@@ -52,7 +52,7 @@
 @message("replication.reject")
 @dataclass(frozen=True)
 class Reject:
-    """The receiver's ballot is below ``promised``."""
+    """Rejects a message whose ballot is below ``promised``."""
 
     promised: Ballot
     membership: Membership
@@ -61,7 +61,7 @@
 @message("replication.fetch")
 @dataclass(frozen=True)
 class Fetch:
-    """A candidate with a quorum asks the most advanced replica for the log after an index."""
+    """Elected candidate requests the most advanced log after an index."""
 
     ballot: Ballot
     after_index: int
@@ -70,7 +70,7 @@
 @message("replication.suffix")
 @dataclass(frozen=True)
 class Suffix:
-    """Answer to :class:`Fetch`: the log after the snapshot, or after ``after_index``."""
+    """Answer to :class:`Fetch`: entries after ``after_index``, with a snapshot if necessary."""
 
     ballot: Ballot
     snapshot: Snapshot | None
@@ -81,7 +81,7 @@
 @message("replication.sync")
 @dataclass(frozen=True)
 class Sync:
-    """The leader's whole log after ``after_index``; replaces whatever the follower has there."""
+    """Leader's log after ``after_index``; replaces the follower's entries after it."""
 
     ballot: Ballot
     membership: Membership
@@ -94,7 +94,7 @@
 @message("replication.append")
 @dataclass(frozen=True)
 class Append:
-    """New entries after ``after_index``; without entries it is the leader's heartbeat."""
+    """New entries after ``after_index``; a heartbeat if there are none."""
 
     ballot: Ballot
     after_index: int
@@ -106,7 +106,7 @@
 @message("replication.accepted")
 @dataclass(frozen=True)
 class Accepted:
-    """The follower holds the leader's log up to and including ``last_index``."""
+    """The follower stores the leader's log up to and including ``last_index``."""
 
     ballot: Ballot
     last_index: int
@@ -115,7 +115,7 @@
 @message("replication.need_sync")
 @dataclass(frozen=True)
 class NeedSync:
-    """The follower has not adopted the leader's log; it is committed up to ``commit_index``."""
+    """The follower has not adopted the leader's log; its own is committed to ``commit_index``."""
 
     ballot: Ballot
     commit_index: int
@@ -124,7 +124,7 @@
 @message("replication.canvass")
 @dataclass(frozen=True)
 class Canvass:
-    """Asks whether a replica would promise ``ballot``; changes nothing (Raft's pre-vote)."""
+    """Pre-vote request (as in Raft): whether a replica would promise ``ballot``."""
 
     ballot: Ballot
 
@@ -132,7 +132,7 @@
 @message("replication.support")
 @dataclass(frozen=True)
 class Support:
-    """The replica hears no leader and would promise ``ballot``."""
+    """Pre-vote granted: the replica has no active leader and would promise ``ballot``."""
 
     ballot: Ballot
 
@@ -140,7 +140,7 @@
 @message("replication.take_over")
 @dataclass(frozen=True)
 class TakeOver:
-    """A leader that is stopping asks a follower to start an election at once."""
+    """Leadership transfer: asks a follower to start an election immediately."""
 
     ballot: Ballot
 
--- a/src/hollowrack/replication/placement.py
+++ b/src/hollowrack/replication/placement.py
@@ -1,4 +1,4 @@
-"""Which nodes should hold a group: pure decisions over what the links know."""
+"""Placement of groups: choice of the nodes that run the replicas."""
 
 from dataclasses import dataclass
 
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True)
 class GroupPlacement:
-    """How a group wants to be placed.
+    """Placement requirements of a group.
 
     Attributes:
-        num_replicas: Members it should have.
-        preferred_zone: Zone whose nodes come first, if any.
+        num_replicas: Target number of members.
+        preferred_zone: Zone whose nodes are chosen first; ``None`` for no preference.
     """
 
     num_replicas: int = DEFAULT_NUM_REPLICAS
@@ -24,7 +24,7 @@
 def choose_members(
     group: str, placement: GroupPlacement, links: NodeLinks
 ) -> tuple[ReplicaId, ...]:
-    """Return the members for a new group; fewer than wanted if fewer nodes are known."""
+    """Return the members of a new group; fewer than required if too few nodes are live."""
     candidates = _live_replicas(group, placement, links)
     return tuple(candidates[: placement.num_replicas])
 
@@ -32,38 +32,38 @@
 def next_members(
     group: str, members: tuple[ReplicaId, ...], placement: GroupPlacement, links: NodeLinks
 ) -> tuple[ReplicaId, ...]:
-    """Return the members a group should have next: one replaced or one added, or the same.
+    """Return the next members of a group: one member replaced or added, or no change.
 
-    A member is replaced if its node retires, or runs again under another incarnation. Nothing
-    changes if there is nobody to take the place.
+    A member is replaced if its node is leaving, dead or unknown, or has another incarnation, and
+    a replacement is available.
     """
     for position, member in enumerate(members):
         if not _should_replace(member, links):
             continue
         others = (*members[:position], *members[position + 1 :])
-        replacement = _newcomer(group, others, placement, links)
+        replacement = _new_member(group, others, placement, links)
         if replacement is not None:
             return (*members[:position], replacement, *members[position + 1 :])
     if len(members) < placement.num_replicas:
-        newcomer = _newcomer(group, members, placement, links)
-        if newcomer is not None:
-            return (*members, newcomer)
+        added = _new_member(group, members, placement, links)
+        if added is not None:
+            return (*members, added)
     return members
 
 
 def _should_replace(member: ReplicaId, links: NodeLinks) -> bool:
     node = node_of(member)
     incarnation = links.incarnation_of(node)
-    is_same_life = incarnation is not None and replica_id(node, incarnation) == member
-    return links.is_retiring(node) or not is_same_life
+    is_same_incarnation = incarnation is not None and replica_id(node, incarnation) == member
+    return links.is_retiring(node) or not is_same_incarnation
 
 
-def _newcomer(
+def _new_member(
     group: str, members: tuple[ReplicaId, ...], placement: GroupPlacement, links: NodeLinks
 ) -> ReplicaId | None:
-    taken = {node_of(member) for member in members}
+    used_nodes = {node_of(member) for member in members}
     for candidate in _live_replicas(group, placement, links):
-        if node_of(candidate) not in taken:
+        if node_of(candidate) not in used_nodes:
             return candidate
     return None
 
--- a/src/hollowrack/replication/repair.py
+++ b/src/hollowrack/replication/repair.py
@@ -1,4 +1,4 @@
-"""Keeps the groups that this node leads at full strength: a reconcile loop over their members."""
+"""Repair of the groups led by this node: a reconcile loop over their members."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -21,21 +21,21 @@
 REPAIR_INTERVAL_S = 0.5
 JOIN_TIMEOUT_S = 1.5
 CLAIM_POLL_INTERVAL_S = 0.05
-# A member that missed the announcement of its group runs no replica until it is told again.
+# A member that missed an announcement runs no replica until the announcement is repeated.
 ANNOUNCE_AGAIN_S = 2.0
 
 PlacementOf = Callable[[str], GroupPlacement]
 
 
 class GroupRepair:
-    """Activates new epochs, replaces members that retire, adds members that are missing.
+    """Activates new epochs, replaces members whose nodes leave or die, and adds missing members.
 
     Args:
-        host: The node's replicas.
-        links: How to reach other nodes.
-        directory: Where memberships are recorded.
-        placement_of: Returns how a group wants to be placed.
-        decisions: Where decisions are recorded.
+        host: Replicas of this node.
+        links: Links to the other nodes.
+        directory: Stores the memberships.
+        placement_of: Returns the placement of a group by its name.
+        decisions: Log that membership announcements are recorded in.
     """
 
     def __init__(
@@ -55,23 +55,23 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start the loop."""
+        """Start the reconcile loop."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop the loop."""
+        """Stop the reconcile loop."""
         await cancel_all(self._task)
 
     async def wait_until_replaced(self, timeout_s: float) -> bool:
-        """Wait until no group counts on this node; returns whether that came about in time."""
+        """Wait until no group needs this node; returns ``False`` on a timeout."""
         deadline_s = now_s() + timeout_s
-        while any(self._counts_on_us(group) for group in list(self._host.groups)):
+        while any(self._needs_this_node(group) for group in list(self._host.groups)):
             if now_s() >= deadline_s:
                 return False
             await asyncio.sleep(CLAIM_POLL_INTERVAL_S)
         return True
 
-    def _counts_on_us(self, group: str) -> bool:
+    def _needs_this_node(self, group: str) -> bool:
         membership = self._host.groups[group].replica.membership
         if self._host.replica_id not in membership.members:
             return True  # Replaced, but the new epoch may still need this replica's state.
@@ -90,7 +90,7 @@
         if replica.needs_activation:
             activated = await self._directory.activate(group, membership.epoch)
             if isinstance(activated, Success):
-                # Those that were replaced hear of it as well and drop their replicas.
+                # Replaced members are notified as well, so that they remove their replicas.
                 await self.announce(group, membership.activated(), membership.electors())
             return
         if membership.previous:
@@ -98,27 +98,27 @@
         placement = self._placement_of(group)
         members = next_members(group, membership.members, placement, self._links)
         if members == membership.members:
-            await self._announce_again(group, replica)
+            await self._announce_to_unsynced(group, replica)
             return
         changed = await self._directory.change(group, membership, members)
         if isinstance(changed, Success):
             await self.announce(group, changed.unwrap(), changed.unwrap().members)
 
-    async def _announce_again(self, group: str, replica: Replica) -> None:
-        """Tell reachable members that take no part of the membership, now and then."""
+    async def _announce_to_unsynced(self, group: str, replica: Replica) -> None:
+        """Repeat the announcement to reachable members that have not adopted the leader's log."""
         missing = [
             member
             for member in replica.unsynced_members
             if self._links.is_reachable(node_of(member))
         ]
-        last_s = self._announced_s.get(group, -float("inf"))
-        if missing and now_s() - last_s >= ANNOUNCE_AGAIN_S:
+        announced_s = self._announced_s.get(group, -float("inf"))
+        if missing and now_s() - announced_s >= ANNOUNCE_AGAIN_S:
             await self.announce(group, replica.membership, missing)
 
     async def announce(
         self, group: str, membership: Membership, recipients: Iterable[ReplicaId]
     ) -> None:
-        """Tell replicas, this node's own included, of a membership."""
+        """Announce a membership to replicas, including this node's own."""
         self._announced_s[group] = now_s()
         self._decisions.record(
             DecisionKind.CHANGE_GROUP,
@@ -126,14 +126,14 @@
             f"epoch {membership.epoch}",
             members=membership.members,
         )
-        self._join_here(group, membership)
+        self._join_locally(group, membership)
         others = {node_of(member) for member in recipients} - {self._host.node}
         request = JoinGroup(group, membership)
         await asyncio.gather(
             *(self._links.request(node, request, JOIN_TIMEOUT_S) for node in sorted(others))
         )
 
-    def _join_here(self, group: str, membership: Membership) -> None:
+    def _join_locally(self, group: str, membership: Membership) -> None:
         try:
             self._host.join(group, membership)
         except ProblemError as error:
--- a/src/hollowrack/replication/replica.py
+++ b/src/hollowrack/replication/replica.py
@@ -1,13 +1,14 @@
-"""One replica of a replicated log, as a state machine without I/O, clock or randomness of its own.
+"""Replica of a replicated log: a deterministic state machine without I/O.
 
-The protocol is Multi-Paxos with whole-log adoption, close to Viewstamped Replication (Liskov and
-Cowling, "Viewstamped Replication Revisited", 2012): a leader elected in a ballot adopts the most
-advanced log among a majority and every follower takes over that log whole before it accepts
-anything of the ballot. Membership changes follow Vertical Paxos (Lamport, Malkhi and Zhou, 2009):
-the configuration store fixes one membership per epoch, and a leader of a new epoch also needs a
-majority of every earlier member set that may hold state nobody has copied.
+Time and randomness are inputs. The protocol is Multi-Paxos with adoption of whole logs, close to
+Viewstamped Replication (Liskov and Cowling, "Viewstamped Replication Revisited", 2012): a leader
+elected in a ballot adopts the most advanced log of a majority, and each follower replaces its log
+by the leader's before it accepts entries of the ballot. Membership changes follow Vertical Paxos
+(Lamport, Malkhi and Zhou, 2009): the configuration store fixes one membership per epoch, and the
+leader of a new epoch also needs a majority of every earlier member set whose state may not have
+been copied yet.
 
-Safety rests on promises alone. Time is used to decide when to try an election and for nothing else.
+Safety depends on promises only; time only decides when an election is attempted.
 """
 
 import math
@@ -56,7 +57,7 @@
 
 
 class Role(Enum):
-    """What a replica does at present."""
+    """Role of a replica within its group."""
 
     FOLLOWER = auto()
     CANDIDATE = auto()
@@ -76,9 +77,9 @@
     """A committed command was applied.
 
     Attributes:
-        index: Its place in the log.
+        index: Log index of the command.
         ballot: Ballot in which this replica accepted it.
-        outcome: What the state machine returned.
+        outcome: Encoded result of the state machine.
     """
 
     index: int
@@ -88,28 +89,36 @@
 
 @dataclass
 class _FollowerProgress:
-    """What a leader knows of one follower."""
+    """A leader's view of one follower.
+
+    Attributes:
+        match_index: Highest index known to be stored at the follower.
+        next_index: Index of the next entry to send.
+        is_synced: Whether the follower has adopted the leader's log in this ballot.
+        answered_since_heartbeat: Whether it has answered since the last heartbeat.
+        last_answer_s: Time of its last answer, or of the election, in seconds.
+    """
 
     match_index: int = 0
     next_index: int = 1
     is_synced: bool = False
-    heard_since_heartbeat: bool = False
-    last_heard_s: float = 0.0
+    answered_since_heartbeat: bool = False
+    last_answer_s: float = 0.0
 
 
 class Replica:
     """One replica of one group.
 
-    Outgoing messages gather in ``outbox`` and applied commands in ``applied``; the owner drains
-    both after each call, flushing the storage before it sends anything.
+    Outgoing messages are collected in ``outbox`` and applied commands in ``applied``. The host
+    drains both after each call and flushes the storage before it sends any message.
 
     Args:
-        replica: This replica's identifier.
-        membership: The membership it starts from.
-        state_machine: Driven by committed entries.
-        storage: Takes what must survive a restart.
-        rng: Source of the election jitter.
-        now_s: Present time in seconds on the owner's monotonic clock.
+        replica: Identifier of this replica.
+        membership: Initial membership.
+        state_machine: Applies committed entries.
+        storage: Stores the records that must survive a restart.
+        rng: Random source of the election timeouts.
+        now_s: Current time of the host's monotonic clock, in seconds.
     """
 
     def __init__(
@@ -134,22 +143,22 @@
         self._state_machine = state_machine
         self._storage = storage
         self._rng = rng
-        self._supporters: set[ReplicaId] = set()
-        self._leader_heard_s = -math.inf
+        self._pre_votes: set[ReplicaId] = set()
+        self._last_leader_message_s = -math.inf
         self._promises: dict[ReplicaId, Promise] = {}
         self._progress: dict[ReplicaId, _FollowerProgress] = {}
         self._election_deadline_s = 0.0
-        self._heartbeat_due_s = 0.0
+        self._next_heartbeat_s = 0.0
         self._now_s = now_s
-        # A replica that joins an epoch has no part in earlier ones, even if its node had: a replica
-        # under the same identity may have been dropped along with its promises.
+        # Rejects ballots of earlier epochs: a removed replica of this identity may have made
+        # promises in them that are no longer stored.
         self.promised = Ballot(membership.epoch, 0, "")
-        self._postpone_election()
+        self._reset_election_timeout()
 
     # -- recovery ---------------------------------------------------------------------------
 
     def replay(self, record: StorageRecord) -> None:
-        """Take back one record of an earlier life; call in order before anything else."""
+        """Restore one stored record; records are replayed in order before any other call."""
         match record:
             case Promised(ballot, membership):
                 self.promised = max(self.promised, ballot)
@@ -172,7 +181,7 @@
     # -- inputs -----------------------------------------------------------------------------
 
     def propose(self, command: bytes) -> int | None:
-        """Append a command if this replica leads; return its index, or ``None``."""
+        """Append a command; returns its index, or ``None`` if this replica is not the leader."""
         if self.role is not Role.LEADER:
             return None
         self._storage.record(Appended(self.log.last_index, (command,)))
@@ -181,7 +190,7 @@
         return self.log.last_index
 
     def replicate(self) -> None:
-        """Send entries that followers have not been sent yet; call once per batch of proposals."""
+        """Send new entries to the followers; called once per batch of proposals."""
         if self.role is not Role.LEADER:
             return
         for follower, progress in self._progress.items():
@@ -189,46 +198,50 @@
                 self._send_append(follower, progress)
 
     def tick(self, now_s: float) -> None:
-        """Let time pass: heartbeats for a leader, elections for the others."""
+        """Advance the time; sends heartbeats as the leader, else checks the election timeout."""
         self._now_s = now_s
         if self.role is Role.LEADER:
-            if now_s >= self._heartbeat_due_s:
-                self._heartbeat()
-            if not self._hears_a_majority():
-                # Followers that hear such a leader would wait for it for ever.
+            if now_s >= self._next_heartbeat_s:
+                self._send_heartbeats()
+            if not self._has_active_quorum():
+                # Its heartbeats may still arrive and would keep followers from electing another.
                 self._step_down()
-                self._postpone_election()
+                self._reset_election_timeout()
         elif now_s >= self._election_deadline_s:
             self.canvass()
 
     def canvass(self) -> None:
-        """Ask whether an election could succeed: a replica that hears nobody disturbs nobody."""
-        self._postpone_election()
+        """Start a pre-vote; a partitioned replica cannot then disrupt the group by elections."""
+        self._reset_election_timeout()
         ballot = self._next_ballot()
         if ballot is None:
             return
         self.leader = None
-        self._supporters = {self.id}
-        for elector in sorted(self.membership.electors() - {self.id}):
-            self._send(elector, Canvass(ballot))
-        self._finish_canvass()
-
-    def _on_canvass(self, sender: ReplicaId, message: Canvass) -> None:
-        hears_leader = self._now_s - self._leader_heard_s < ELECTION_TIMEOUT_MIN_S
-        if message.ballot > self.promised and not hears_leader and self.role is not Role.LEADER:
+        self._pre_votes = {self.id}
+        for voter in sorted(self.membership.electors() - {self.id}):
+            self._send(voter, Canvass(ballot))
+        self._finish_pre_vote()
+
+    def _on_pre_vote(self, sender: ReplicaId, message: Canvass) -> None:
+        has_active_leader = self._now_s - self._last_leader_message_s < ELECTION_TIMEOUT_MIN_S
+        if (
+            message.ballot > self.promised
+            and not has_active_leader
+            and self.role is not Role.LEADER
+        ):
             self._send(sender, Support(message.ballot))
 
-    def _on_support(self, sender: ReplicaId, message: Support) -> None:
-        if self._supporters and message.ballot == self._next_ballot():
-            self._supporters.add(sender)
-            self._finish_canvass()
+    def _on_pre_vote_granted(self, sender: ReplicaId, message: Support) -> None:
+        if self._pre_votes and message.ballot == self._next_ballot():
+            self._pre_votes.add(sender)
+            self._finish_pre_vote()
 
-    def _finish_canvass(self) -> None:
-        if self.membership.elects(self._supporters):
+    def _finish_pre_vote(self) -> None:
+        if self.membership.elects(self._pre_votes):
             self.start_election()
 
     def _next_ballot(self) -> Ballot | None:
-        """A ballot of this replica above all seen; ``None`` if it is no member of the epoch."""
+        """Return a ballot above the promised one; ``None`` if not a member of the epoch."""
         epoch = self.membership.epoch
         if self.id not in self.membership.members or self.promised.epoch > epoch:
             return None
@@ -236,22 +249,22 @@
         return Ballot(epoch, seen_round + 1, self.id)
 
     def start_election(self) -> None:
-        """Become a candidate in a ballot above all seen; members of the epoch only."""
-        self._postpone_election()
+        """Become a candidate in a ballot above the promised one, if a member of the epoch."""
+        self._reset_election_timeout()
         ballot = self._next_ballot()
         if ballot is None:
             return
-        self._supporters = set()
+        self._pre_votes = set()
         self._promise(ballot)
         self.role = Role.CANDIDATE
         self.leader = None
         self._promises = {self.id: self._own_promise(ballot)}
-        for elector in sorted(self.membership.electors() - {self.id}):
-            self._send(elector, Prepare(ballot, self.membership))
+        for voter in sorted(self.membership.electors() - {self.id}):
+            self._send(voter, Prepare(ballot, self.membership))
         self._finish_phase_one()
 
     def resign(self) -> None:
-        """Stop leading, for a planned stop, and ask the most advanced follower to take over."""
+        """Transfer leadership to the most advanced follower, before a planned stop."""
         if self.role is not Role.LEADER:
             return
         ranked = sorted(self._progress, key=lambda name: self._progress[name].match_index)
@@ -260,18 +273,18 @@
         if ranked:
             self._send(ranked[-1], TakeOver(self.promised))
 
-    def _on_take_over(self, message: TakeOver) -> None:
+    def _on_timeout_now(self, message: TakeOver) -> None:
         if message.ballot == self.promised:
             self.start_election()
 
     def adopt_membership(self, membership: Membership) -> None:
-        """Take in a membership read from the configuration store."""
+        """Apply a membership read from the configuration store; older ones are ignored."""
         if membership.epoch > self.membership.epoch and self.role is not Role.FOLLOWER:
             self._step_down()
         self._adopt_membership(membership)
 
     def receive(self, sender: ReplicaId, message: ReplicaMessage) -> None:
-        """Handle one message of another replica."""
+        """Handle a message of another replica."""
         match message:
             case Prepare():
                 self._on_prepare(sender, message)
@@ -292,15 +305,15 @@
             case NeedSync():
                 self._on_need_sync(sender, message)
             case TakeOver():
-                self._on_take_over(message)
+                self._on_timeout_now(message)
             case Canvass():
-                self._on_canvass(sender, message)
+                self._on_pre_vote(sender, message)
             case Support():
-                self._on_support(sender, message)
+                self._on_pre_vote_granted(sender, message)
 
     @property
     def needs_activation(self) -> bool:
-        """Whether this leader has copied all earlier state and may activate its epoch."""
+        """Whether the epoch is not active and a majority of its members has this leader's log."""
         return (
             self.role is Role.LEADER
             and bool(self.membership.previous)
@@ -309,7 +322,7 @@
 
     @property
     def unsynced_members(self) -> set[ReplicaId]:
-        """Members that have not taken over this leader's log; none unless it leads."""
+        """Members that have not adopted this leader's log; empty if this is not the leader."""
         if self.role is not Role.LEADER:
             return set()
         return set(self.membership.members) - self._synced()
@@ -323,7 +336,7 @@
         self._step_down()
         self._adopt_membership(message.membership)
         self._promise(message.ballot)
-        self._postpone_election()
+        self._reset_election_timeout()
         self._send(sender, self._own_promise(message.ballot))
 
     def _own_promise(self, ballot: Ballot) -> Promise:
@@ -347,7 +360,7 @@
             ),
         )
         if best == self.id:
-            self._lead(
+            self._become_leader(
                 self.log.snapshot, self.log.snapshot.index, self.log.after(self.log.snapshot.index)
             )
         else:
@@ -357,7 +370,7 @@
         if message.ballot != self.promised:
             self._reject(sender)
             return
-        snapshot, after_index = self._start_for(message.after_index)
+        snapshot, after_index = self._sync_start(message.after_index)
         entries = self.log.after(after_index)
         self._send(sender, Suffix(message.ballot, snapshot, after_index, entries))
 
@@ -366,9 +379,9 @@
             return
         if message.snapshot is None and message.after_index > self.commit_index:
             return
-        self._lead(message.snapshot, message.after_index, message.entries)
+        self._become_leader(message.snapshot, message.after_index, message.entries)
 
-    def _lead(
+    def _become_leader(
         self, snapshot: Snapshot | None, after_index: int, entries: tuple[bytes, ...]
     ) -> None:
         self._adopt_log(self.promised, snapshot, after_index, entries)
@@ -376,31 +389,31 @@
         self.leader = self.id
         followers = set(self.membership.members) - {self.id}
         self._progress = {
-            follower: _FollowerProgress(last_heard_s=self._now_s) for follower in sorted(followers)
+            follower: _FollowerProgress(last_answer_s=self._now_s) for follower in sorted(followers)
         }
         for follower, promise in self._promises.items():
             if follower in self._progress:
                 self._send_sync(follower, promise.commit_index)
-        self._heartbeat()
+        self._send_heartbeats()
         self._advance_commit()
 
     # -- phase two, leader ------------------------------------------------------------------
 
-    def _heartbeat(self) -> None:
-        self._heartbeat_due_s = self._now_s + HEARTBEAT_INTERVAL_S
+    def _send_heartbeats(self) -> None:
+        self._next_heartbeat_s = self._now_s + HEARTBEAT_INTERVAL_S
         for follower, progress in self._progress.items():
-            if not progress.heard_since_heartbeat:
+            if not progress.answered_since_heartbeat:
                 progress.next_index = progress.match_index + 1
-            progress.heard_since_heartbeat = False
+            progress.answered_since_heartbeat = False
             self._send_append(follower, progress)
 
-    def _hears_a_majority(self) -> bool:
-        heard = {
+    def _has_active_quorum(self) -> bool:
+        active = {
             follower
             for follower, progress in self._progress.items()
-            if self._now_s - progress.last_heard_s < ELECTION_TIMEOUT_MAX_S
+            if self._now_s - progress.last_answer_s < ELECTION_TIMEOUT_MAX_S
         }
-        return is_majority(self.membership.members, heard | {self.id})
+        return is_majority(self.membership.members, active | {self.id})
 
     def _send_append(self, follower: ReplicaId, progress: _FollowerProgress) -> None:
         after_index = progress.next_index - 1
@@ -419,7 +432,7 @@
         )
 
     def _send_sync(self, follower: ReplicaId, follower_commit_index: int) -> None:
-        snapshot, after_index = self._start_for(follower_commit_index)
+        snapshot, after_index = self._sync_start(follower_commit_index)
         entries = self.log.after(after_index)
         self._send(
             follower,
@@ -433,8 +446,8 @@
             ),
         )
 
-    def _start_for(self, commit_index: int) -> tuple[Snapshot | None, int]:
-        """Return the snapshot to send, if any, and the index the entries start after."""
+    def _sync_start(self, commit_index: int) -> tuple[Snapshot | None, int]:
+        """Return the snapshot to send, if one is needed, and the index before the first entry."""
         if commit_index < self.log.snapshot.index:
             return self.log.snapshot, self.log.snapshot.index
         return None, min(commit_index, self.log.last_index)
@@ -444,8 +457,8 @@
         if progress is None:
             return
         progress.is_synced = True
-        progress.heard_since_heartbeat = True
-        progress.last_heard_s = self._now_s
+        progress.answered_since_heartbeat = True
+        progress.last_answer_s = self._now_s
         progress.match_index = max(progress.match_index, message.last_index)
         progress.next_index = max(progress.next_index, progress.match_index + 1)
         self._advance_commit()
@@ -453,8 +466,8 @@
     def _on_need_sync(self, sender: ReplicaId, message: NeedSync) -> None:
         progress = self._progress_of(sender, message.ballot)
         if progress is not None and not progress.is_synced:
-            progress.heard_since_heartbeat = True
-            progress.last_heard_s = self._now_s
+            progress.answered_since_heartbeat = True
+            progress.last_answer_s = self._now_s
             self._send_sync(sender, message.commit_index)
 
     def _progress_of(self, sender: ReplicaId, ballot: Ballot) -> _FollowerProgress | None:
@@ -473,7 +486,7 @@
             (indexes.get(member, 0) for member in self.membership.members), reverse=True
         )
         majority_index = ranked[len(ranked) // 2]
-        # Followers that have not adopted this ballot's log count with index zero.
+        # Followers that have not adopted this ballot's log have match index 0.
         self._commit(majority_index)
 
     # -- phase two, follower ----------------------------------------------------------------
@@ -483,14 +496,14 @@
             self._reject(sender)
             return
         if self.accepted_ballot == message.ballot:
-            self._follow(sender, message.ballot)
+            self._follow_leader(sender, message.ballot)
             self._send(sender, Accepted(message.ballot, self.log.last_index))
             return
         if message.snapshot is None and message.after_index > self.commit_index:
             self._send(sender, NeedSync(message.ballot, self.commit_index))
             return
         self._adopt_membership(message.membership)
-        self._follow(sender, message.ballot)
+        self._follow_leader(sender, message.ballot)
         self._adopt_log(message.ballot, message.snapshot, message.after_index, message.entries)
         self._commit(min(message.commit_index, self.log.last_index))
         self._send(sender, Accepted(message.ballot, self.log.last_index))
@@ -499,7 +512,7 @@
         if message.ballot < self.promised:
             self._reject(sender)
             return
-        self._follow(sender, message.ballot)
+        self._follow_leader(sender, message.ballot)
         if self.accepted_ballot != message.ballot:
             self._send(sender, NeedSync(message.ballot, self.commit_index))
             return
@@ -510,8 +523,8 @@
         self._send(sender, Accepted(message.ballot, self.log.last_index))
 
     def _append_new(self, after_index: int, entries: tuple[bytes, ...]) -> None:
-        # Within one ballot all copies of an entry are equal, so overlaps are skipped, and a gap is
-        # filled when the leader sees our last index.
+        # Entries of one ballot are equal in all copies, so overlapping ones are skipped. After a
+        # gap, the leader resends from the last index that this replica reports.
         if after_index > self.log.last_index:
             return
         new_entries = entries[self.log.last_index - after_index :]
@@ -521,22 +534,22 @@
         for command in new_entries:
             self.log.append(command)
 
-    def _follow(self, leader: ReplicaId, ballot: Ballot) -> None:
+    def _follow_leader(self, leader: ReplicaId, ballot: Ballot) -> None:
         if self.role is not Role.FOLLOWER:
             self._step_down()
         if ballot > self.promised:
             self._promise(ballot)
         self.leader = leader
-        self._leader_heard_s = self._now_s
-        self._supporters = set()
-        self._postpone_election()
+        self._last_leader_message_s = self._now_s
+        self._pre_votes = set()
+        self._reset_election_timeout()
 
     # -- shared -----------------------------------------------------------------------------
 
     def _on_reject(self, message: Reject) -> None:
         if message.promised <= self.promised:
             return
-        # The higher ballot is remembered so that the next attempt goes above it.
+        # The next election attempt must use a higher ballot.
         self._step_down()
         self._adopt_membership(message.membership)
         self._promise(message.promised)
@@ -574,7 +587,7 @@
             self._restore(snapshot)
             after_index = snapshot.index
         elif after_index < self.log.snapshot.index:
-            # Everything up to our own snapshot is committed and therefore equal.
+            # Entries up to this replica's snapshot are committed and therefore equal.
             entries = entries[self.log.snapshot.index - after_index :]
             after_index = self.log.snapshot.index
         self.log.replace_after(after_index, entries)
@@ -612,9 +625,9 @@
         self._promises = {}
         self._progress = {}
 
-    def _postpone_election(self) -> None:
-        jitter = self._rng.uniform(ELECTION_TIMEOUT_MIN_S, ELECTION_TIMEOUT_MAX_S)
-        self._election_deadline_s = self._now_s + jitter
+    def _reset_election_timeout(self) -> None:
+        timeout_s = self._rng.uniform(ELECTION_TIMEOUT_MIN_S, ELECTION_TIMEOUT_MAX_S)
+        self._election_deadline_s = self._now_s + timeout_s
 
     def _send(self, recipient: ReplicaId, message: ReplicaMessage) -> None:
         self.outbox.append(Outgoing(recipient, message))
--- a/src/hollowrack/replication/storage.py
+++ b/src/hollowrack/replication/storage.py
@@ -1,4 +1,4 @@
-"""What a replica must remember across a restart, and the two places it can be kept."""
+"""Durable records of a replica, and the interface of their storage."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -20,7 +20,7 @@
 @message("journal.adopted")
 @dataclass(frozen=True)
 class Adopted:
-    """The replica took over a leader's log after ``after_index``, all or nothing."""
+    """The replica adopted a leader's log after ``after_index``."""
 
     ballot: Ballot
     membership: Membership
@@ -41,9 +41,9 @@
 @message("journal.compacted")
 @dataclass(frozen=True)
 class Compacted:
-    """The replica replaced its first entries by a snapshot; holds all there is to remember.
+    """The replica compacted its log; the record contains its whole state.
 
-    A storage may drop every earlier record.
+    A storage may remove all earlier records.
     """
 
     promised: Ballot
@@ -57,23 +57,23 @@
 
 
 class Storage(Protocol):
-    """Receives records in order; they must be durable before any message goes out."""
+    """Stores records in order; they must be durable before the replica's messages are sent."""
 
     def record(self, record: StorageRecord) -> None:
-        """Take one record."""
+        """Append a record."""
 
     def flush(self) -> None:
         """Make all records durable."""
 
     def close(self) -> None:
-        """Give up the place where the records are kept."""
+        """Release the underlying resources."""
 
 
 class MemoryStorage:
-    """For a node without a data directory: nothing survives, and nothing claims to."""
+    """Storage of a node without a data directory; stores nothing."""
 
     def record(self, record: StorageRecord) -> None:
-        """Ignore the record: the replica itself is the only copy."""
+        """Ignore the record."""
 
     def flush(self) -> None:
         """Do nothing."""
--- a/src/hollowrack/replication/types.py
+++ b/src/hollowrack/replication/types.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-# A replica is named "<node>#<incarnation>". A node without a disk draws a new incarnation at each
-# start, so a replica that lost its memory is a different replica and holds no vote of the old one.
+# "<node>#<incarnation>". A node without a data directory gets a new incarnation at each start, so a
+# replica that lost its state is a different replica and has no votes of the previous one.
 ReplicaId = str
 _INCARNATION_SEPARATOR = "#"
 
@@ -15,18 +15,18 @@
 
 
 def node_of(replica: ReplicaId) -> str:
-    """Return the node that runs a replica."""
+    """Return the name of the node that runs a replica."""
     return replica.partition(_INCARNATION_SEPARATOR)[0]
 
 
 @dataclass(frozen=True, order=True)
 class Ballot:
-    """A leadership attempt; totally ordered, the epoch first.
+    """Ballot of a leader election; totally ordered by its fields.
 
     Attributes:
-        epoch: Membership epoch in which the leader was elected.
-        round: Attempt number within the epoch.
-        replica: The candidate, which makes ballots unique.
+        epoch: Membership epoch of the election.
+        round: Election number within the epoch.
+        replica: The candidate, which makes the ballot unique.
     """
 
     epoch: int
@@ -35,7 +35,7 @@
 
     @property
     def fencing_token(self) -> int:
-        """An integer that rises with every change of leader; orders to engines carry it."""
+        """Integer that increases with every change of leader; attached to commands to engines."""
         return (self.epoch << 32) | self.round
 
 
@@ -44,15 +44,15 @@
 
 @dataclass(frozen=True)
 class Membership:
-    """The members of a group in one epoch.
+    """Members of a group in one epoch.
 
     The configuration store holds exactly one membership per epoch, written by compare-and-swap.
 
     Attributes:
-        epoch: Rises by one with every change.
-        members: The replicas that accept entries in this epoch.
+        epoch: Number of the epoch; increases by one with every change.
+        members: Replicas that accept entries in this epoch.
         previous: Member sets of earlier epochs whose state may not have been copied yet. A leader
-            needs a majority of each of them as well until the epoch is activated.
+            also needs a majority of each of them until the epoch is activated.
     """
 
     epoch: int
@@ -60,19 +60,19 @@
     previous: tuple[tuple[ReplicaId, ...], ...] = ()
 
     def electors(self) -> frozenset[ReplicaId]:
-        """All replicas that a candidate has to ask."""
+        """All replicas that a candidate requests votes from."""
         return frozenset(self.members).union(*self.previous)
 
     def elects(self, promised: set[ReplicaId]) -> bool:
-        """Whether the promises hold a majority of every member set."""
+        """Whether the promises include a majority of every member set."""
         return all(is_majority(group, promised) for group in (self.members, *self.previous))
 
     def activated(self) -> "Membership":
-        """The same epoch without the duty to ask earlier members."""
+        """Return the membership of the activated epoch, without earlier member sets."""
         return Membership(self.epoch, self.members)
 
     def successor(self, members: tuple[ReplicaId, ...]) -> "Membership":
-        """The next epoch, with the given members."""
+        """Return the membership of the next epoch."""
         return Membership(self.epoch + 1, members, (self.members, *self.previous))
 
 
@@ -82,13 +82,13 @@
 
 
 class StateMachine(Protocol):
-    """A deterministic state machine driven by the log."""
+    """Deterministic state machine that applies the committed commands of a log."""
 
     def apply(self, command: bytes) -> bytes:
         """Apply one committed command and return its encoded outcome."""
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the encoded state."""
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the state by a snapshot; empty bytes mean the initial state."""
+        """Replace the state by a snapshot; empty bytes are the initial state."""
