--- a/src/hollowrack/membership/__init__.py
+++ b/src/hollowrack/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which nodes exist, which of them run, and small facts that all of them should know."""
+"""Node membership, failure detection and replicated facts (SWIM)."""
--- a/src/hollowrack/membership/datagrams.py
+++ b/src/hollowrack/membership/datagrams.py
@@ -1,4 +1,4 @@
-"""Authenticated datagrams: sealed with the cluster key, numbered against replay."""
+"""Datagram authentication with the cluster key, and replay protection by sequence numbers."""
 
 import hashlib
 import hmac
@@ -15,64 +15,64 @@
 
 MAX_DATAGRAM_BYTES = 1400
 _TAG_BYTES = 16
-_LIFE_BYTES = 8
+_SESSION_ID_BYTES = 8
 _REPLAY_WINDOW = 256
 _SEALED_FIELDS = 4
 
 
 @dataclass
 class _SenderWindow:
-    """Numbers seen from one life of a sender."""
+    """Replay window: sequence numbers received from one process of a sender."""
 
     highest: int = 0
     seen: set[int] = field(default_factory=set)
 
     def accept(self, number: int) -> bool:
-        """Whether ``number`` is new; remembers it."""
+        """Record a sequence number; returns whether it is new and within the window."""
         if number <= self.highest - _REPLAY_WINDOW or number in self.seen:
             return False
         self.seen.add(number)
         if number > self.highest:
             self.highest = number
-            floor = number - _REPLAY_WINDOW
-            self.seen = {known for known in self.seen if known > floor}
+            lowest = number - _REPLAY_WINDOW
+            self.seen = {known for known in self.seen if known > lowest}
         return True
 
 
 @dataclass(frozen=True)
 class OpenedDatagram:
-    """A datagram that passed all checks."""
+    """Sender and content of a datagram that passed all checks."""
 
     sender: str
     message: GossipMessage
 
 
 class DatagramSealer:
-    """Seals and opens the datagrams of one node.
+    """Authenticates the outgoing and verifies the incoming datagrams of one node.
 
     Args:
-        node: This node's name.
-        cluster_key: The key shared by all nodes.
-        previous_key: A key that is still accepted while keys are being rotated.
+        node: Name of this node.
+        cluster_key: Key shared by all nodes.
+        previous_key: Key that is also accepted, during a key rotation.
     """
 
     def __init__(self, node: str, cluster_key: bytes, previous_key: bytes | None = None) -> None:
         self._node = node
         self._key = cluster_key
         self._accepted_keys = [key for key in (cluster_key, previous_key) if key is not None]
-        self._life = os.urandom(_LIFE_BYTES)
+        self._session_id = os.urandom(_SESSION_ID_BYTES)
         self._numbers = itertools.count(1)
         self._windows: dict[tuple[str, bytes], _SenderWindow] = {}
         self.num_dropped = 0
 
     def seal(self, message: GossipMessage) -> bytes:
-        """Return the datagram that carries a message."""
+        """Encode a message with its sender, sequence number and authentication tag."""
         body = codec.encode(message)
-        payload = cbor2.dumps([self._node, self._life, next(self._numbers), body])
+        payload = cbor2.dumps([self._node, self._session_id, next(self._numbers), body])
         return _tag(self._key, payload) + payload
 
     def open(self, datagram: bytes) -> Result[OpenedDatagram, Problem]:
-        """Check a datagram; one that is foreign, replayed or malformed is counted and dropped."""
+        """Verify a datagram; counts those that are unauthenticated, replayed or malformed."""
         opened = self._open(datagram)
         if isinstance(opened, Failure):
             self.num_dropped += 1
@@ -81,32 +81,35 @@
     def _open(self, datagram: bytes) -> Result[OpenedDatagram, Problem]:
         tag, payload = datagram[:_TAG_BYTES], datagram[_TAG_BYTES:]
         if not any(hmac.compare_digest(tag, _tag(key, payload)) for key in self._accepted_keys):
-            return _dropped(ResultCode.PEER_UNAUTHENTICATED, "tag does not match")
+            return _rejected(ResultCode.PEER_UNAUTHENTICATED, "authentication tag does not match")
         try:
             fields = cbor2.loads(payload)
         except (cbor2.CBORDecodeError, ValueError, EOFError) as error:
-            return _dropped(ResultCode.MESSAGE_INVALID, str(error))
+            return _rejected(ResultCode.MESSAGE_INVALID, str(error))
         if not isinstance(fields, list) or len(fields) != _SEALED_FIELDS:
-            return _dropped(ResultCode.MESSAGE_INVALID, "not a sealed datagram")
-        sender, life, number, body = fields
-        if not isinstance(sender, str) or not isinstance(life, bytes):
-            return _dropped(ResultCode.MESSAGE_INVALID, "sender is malformed")
+            return _rejected(
+                ResultCode.MESSAGE_INVALID,
+                "payload is not a list of sender, session, number and body",
+            )
+        sender, session_id, number, body = fields
+        if not isinstance(sender, str) or not isinstance(session_id, bytes):
+            return _rejected(ResultCode.MESSAGE_INVALID, "sender or session is malformed")
         if not isinstance(number, int) or not isinstance(body, bytes):
-            return _dropped(ResultCode.MESSAGE_INVALID, "number or body is malformed")
-        if not self._windows.setdefault((sender, life), _SenderWindow()).accept(number):
-            return _dropped(ResultCode.MESSAGE_INVALID, "replayed")
+            return _rejected(ResultCode.MESSAGE_INVALID, "number or body is malformed")
+        if not self._windows.setdefault((sender, session_id), _SenderWindow()).accept(number):
+            return _rejected(ResultCode.MESSAGE_INVALID, "replayed")
         return codec.decode(body).bind(lambda message: _as_gossip(sender, message))
 
 
 def _as_gossip(sender: str, message: object) -> Result[OpenedDatagram, Problem]:
     if isinstance(message, GossipMessage):
         return Success(OpenedDatagram(sender, message))
-    return _dropped(ResultCode.MESSAGE_INVALID, f"unexpected {type(message).__name__}")
+    return _rejected(ResultCode.MESSAGE_INVALID, f"unexpected {type(message).__name__}")
 
 
 def _tag(key: bytes, payload: bytes) -> bytes:
     return hashlib.blake2b(payload, key=key, digest_size=_TAG_BYTES).digest()
 
 
-def _dropped(code: ResultCode, detail: str) -> Failure[Problem]:
+def _rejected(code: ResultCode, detail: str) -> Failure[Problem]:
     return Failure(Problem(code, detail, "datagram"))
--- a/src/hollowrack/membership/messages.py
+++ b/src/hollowrack/membership/messages.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership protocol and the full exchange over TCP."""
+"""Messages of the membership protocol: datagrams, and the full-state exchange over TCP."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class Rumours:
-    """Updates that ride on every datagram."""
+    """Updates of members and facts that are piggybacked on each datagram."""
 
     members: tuple[Member, ...] = ()
     facts: tuple[Fact, ...] = ()
@@ -17,7 +17,7 @@
 @message("membership.ping")
 @dataclass(frozen=True)
 class Ping:
-    """Asks for an :class:`Ack` with the same number."""
+    """Direct probe; requests an :class:`Ack` with the same number."""
 
     number: int
     rumours: Rumours
@@ -26,7 +26,7 @@
 @message("membership.ack")
 @dataclass(frozen=True)
 class Ack:
-    """Answers a ping."""
+    """Answer to a ping with the same number."""
 
     number: int
     rumours: Rumours
@@ -35,7 +35,7 @@
 @message("membership.ping_request")
 @dataclass(frozen=True)
 class PingRequest:
-    """Asks a third node to ping ``target`` and pass its ack on."""
+    """Indirect probe: asks another node to ping ``target`` and to forward its ack."""
 
     number: int
     target: str
@@ -45,7 +45,7 @@
 @message("membership.exchange")
 @dataclass(frozen=True)
 class Exchange:
-    """Everything one node knows; answered with the same by its peer (over TCP)."""
+    """All members and facts known to a node; the peer answers with its own (over TCP)."""
 
     members: tuple[Member, ...]
     facts: tuple[Fact, ...]
@@ -54,7 +54,7 @@
 @message("membership.digest")
 @dataclass(frozen=True)
 class Digest:
-    """Hash of everything a node knows; a peer with the same hash needs no exchange."""
+    """Hash of a node's full state; peers with equal hashes skip the exchange."""
 
     state_hash: int
 
@@ -62,7 +62,7 @@
 @message("membership.digest_answer")
 @dataclass(frozen=True)
 class DigestAnswer:
-    """Whether the peer's hash is the same."""
+    """Whether the hash of the answering node is equal."""
 
     is_same: bool
 
--- a/src/hollowrack/membership/network.py
+++ b/src/hollowrack/membership/network.py
@@ -1,4 +1,4 @@
-"""The network between nodes: datagrams for membership, requests for everything else."""
+"""Network between nodes: datagrams for membership, requests for all other messages."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -17,7 +17,7 @@
 
 
 class NodeNetwork(Protocol):
-    """One node's access to the network; sockets in the daemon, memory in the bench."""
+    """Interface of a node to the network; benchmarks implement it in memory."""
 
     async def open(self, on_datagram: OnDatagram, on_request: OnRequest) -> str:
         """Start listening and return the bound address.
@@ -27,15 +27,15 @@
         """
 
     def send_datagram(self, address: str, message: GossipMessage) -> None:
-        """Send a datagram; it may be lost."""
+        """Send a datagram without a delivery guarantee."""
 
     async def request(
         self, address: str, message: object, timeout_s: float
     ) -> Result[Any, Problem]:
-        """Send a request and wait for its answer; ``PEER_UNREACHABLE`` if none comes."""
+        """Send a request and wait for its answer; fails with ``PEER_UNREACHABLE`` without one."""
 
     async def send(self, address: str, message: object) -> None:
-        """Send a message that needs no answer; it may be lost."""
+        """Send a one-way message without a delivery guarantee."""
 
     async def close(self) -> None:
         """Stop listening and close all connections."""
@@ -46,17 +46,17 @@
         self._on_datagram = on_datagram
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        del addr  # The sender's name is inside, under the cluster key.
+        del addr  # The authenticated payload contains the sender's name.
         self._on_datagram(data)
 
 
 class SocketNetwork:
-    """The network over UDP and TCP sockets on one address.
+    """Network over a UDP and a TCP socket on the same address and port.
 
     Args:
-        node: This node's name.
-        address: ``IP:PORT`` to listen on; port 0 takes a free one.
-        cluster_key: The key shared by all nodes.
+        node: Name of this node.
+        address: ``IP:PORT`` to listen on; port 0 selects a free port.
+        cluster_key: Key shared by all nodes.
     """
 
     def __init__(self, node: str, address: str, cluster_key: bytes) -> None:
@@ -68,10 +68,10 @@
         self._connections: dict[str, PeerConnection] = {}
 
     async def open(self, on_datagram: OnDatagram, on_request: OnRequest) -> str:
-        """Bind both sockets; see :class:`NodeNetwork`."""
-        host, wanted_port = self._address
+        """Bind both sockets; see :meth:`NodeNetwork.open`."""
+        host, configured_port = self._address
         self._server = PeerServer(self._cluster_key, on_request)
-        port = await self._server.start(host, wanted_port)
+        port = await self._server.start(host, configured_port)
 
         def receive(data: bytes) -> None:
             opened = self._sealer.open(data)
@@ -92,7 +92,7 @@
         return f"{host}:{port}"
 
     def send_datagram(self, address: str, message: GossipMessage) -> None:
-        """Seal and send a datagram."""
+        """Authenticate and send a datagram; dropped if the socket is closed."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.sendto(self._sealer.seal(message), split_address(address))
 
--- a/src/hollowrack/membership/rumours.py
+++ b/src/hollowrack/membership/rumours.py
@@ -1,7 +1,7 @@
-"""Chooses which updates ride on the next datagram.
+"""Dissemination queue of the updates that are piggybacked on datagrams.
 
-The least sent go first, each a bounded number of times, so that an update reaches everybody and
-then stops costing anything.
+Updates sent least often go first. Each is sent a bounded number of times, which is enough to reach
+all nodes with high probability.
 """
 
 import math
@@ -10,7 +10,7 @@
 
 Update = TypeVar("Update")
 
-# Each update is sent this many times per doubling of the fleet; SWIM's lambda (Das et al., 2002).
+# Each update is sent this many times the binary logarithm of the number of members (SWIM's lambda).
 RETRANSMIT_FACTOR = 3
 
 
@@ -21,7 +21,7 @@
 
 
 class RumourQueue(Generic[Update]):
-    """Updates by subject; a newer update about the same subject replaces the older one."""
+    """Updates to be sent, one per subject: a new update replaces the older one."""
 
     def __init__(self) -> None:
         self._pending: dict[str, _Pending[Update]] = {}
@@ -30,22 +30,22 @@
         return len(self._pending)
 
     def clear(self) -> None:
-        """Spread nothing of what was added so far."""
+        """Remove all updates."""
         self._pending.clear()
 
     def add(self, subject: str, update: Update) -> None:
-        """Spread an update."""
+        """Add an update."""
         self._pending[subject] = _Pending(update)
 
     def take(self, max_updates: int, num_members: int) -> tuple[Update, ...]:
-        """Return the updates for one datagram and count them as sent."""
+        """Return the updates for the next datagram and count them as sent."""
         if not self._pending:
             return ()
         max_sent = RETRANSMIT_FACTOR * max(1, math.ceil(math.log2(num_members + 1)))
         ranked = sorted(self._pending, key=lambda subject: self._pending[subject].num_sent)
-        chosen = ranked[:max_updates]
-        updates = tuple(self._pending[subject].update for subject in chosen)
-        for subject in chosen:
+        selected = ranked[:max_updates]
+        updates = tuple(self._pending[subject].update for subject in selected)
+        for subject in selected:
             pending = self._pending[subject]
             pending.num_sent += 1
             if pending.num_sent >= max_sent:
--- a/src/hollowrack/membership/service.py
+++ b/src/hollowrack/membership/service.py
@@ -1,4 +1,4 @@
-"""Runs the membership protocol over the network; also a node's links to the others."""
+"""Membership service: runs the membership protocol of a node over the network."""
 
 import asyncio
 import random
@@ -23,13 +23,13 @@
 
 
 class MembershipService:
-    """Membership of one node; also its links to the others.
+    """Runs the membership protocol of one node and implements its links to the other nodes.
 
     Args:
-        own: This node's own entry, with its bound address.
-        seeds: Members to start from.
-        network: The node's open network.
-        seed: Seed of the protocol's random source.
+        own: Member entry of this node, with its bound address.
+        seeds: Initial members.
+        network: Open network of the node.
+        seed: Seed of the random source; ``None`` for a random one.
     """
 
     def __init__(
@@ -42,21 +42,21 @@
         self._network = network
         self._tasks: set[asyncio.Task[None]] = set()
 
-    # -- life -------------------------------------------------------------------------------
+    # -- start and stop ---------------------------------------------------------------------
 
     def start(self) -> None:
         """Start probing."""
         self._spawn(self._run_timer())
 
     async def stop(self) -> None:
-        """Stop probing and give up all messages under way."""
+        """Stop probing and cancel all pending messages."""
         tasks = list(self._tasks)
         await cancel_all(*tasks)
 
     def leave(self) -> None:
-        """Announce a planned stop to the fleet."""
+        """Announce a planned stop to all nodes."""
         self.swim.leave()
-        self._drain()
+        self._process_outputs()
 
     def _spawn(self, coroutine: Any) -> None:
         task = asyncio.create_task(coroutine)
@@ -67,23 +67,25 @@
         while True:
             await asyncio.sleep(TICK_INTERVAL_S)
             self.swim.tick(now_s())
-            self._drain()
+            self._process_outputs()
 
     def receive(self, sender: str, message: GossipMessage) -> None:
-        """Handle a datagram from a node."""
+        """Handle a datagram of another node."""
         self.swim.receive(sender, message)
-        self._drain()
+        self._process_outputs()
 
-    def _drain(self) -> None:
+    def _process_outputs(self) -> None:
         outbox, self.swim.outbox = self.swim.outbox, []
         for datagram in outbox:
             self._network.send_datagram(datagram.address, datagram.message)
         peers, self.swim.exchange_with = self.swim.exchange_with, []
         for peer in peers:
-            self._spawn(self._exchange_with(peer))
+            self._spawn(self._exchange_state(peer))
         changes, self.swim.changes = self.swim.changes, []
         for change in changes:
-            logging.info("member %s is %s", change.member.node, change.member.status.name)
+            logging.info(
+                "member %s: status changed to %s", change.member.node, change.member.status.name
+            )
             for listener in self.on_change:
                 listener(change)
         facts, self.swim.risen_facts = self.swim.risen_facts, []
@@ -91,80 +93,82 @@
             for fact_listener in self.on_fact:
                 fact_listener(fact)
 
-    # -- full exchanges ---------------------------------------------------------------------
+    # -- full-state exchange ----------------------------------------------------------------
 
-    async def _exchange_with(self, peer: str) -> None:
+    async def _exchange_state(self, peer: str) -> None:
         digest = Digest(self.swim.state_hash())
-        compared = await self.request(peer, digest, EXCHANGE_TIMEOUT_S)
-        answer = compared.value_or(None)
+        digest_result = await self.request(peer, digest, EXCHANGE_TIMEOUT_S)
+        answer = digest_result.value_or(None)
         if not isinstance(answer, DigestAnswer) or answer.is_same:
             return
-        exchanged = await self.request(peer, self.full_state(), EXCHANGE_TIMEOUT_S)
-        state = exchanged.value_or(None)
+        exchange_result = await self.request(peer, self.full_state(), EXCHANGE_TIMEOUT_S)
+        state = exchange_result.value_or(None)
         if isinstance(state, Exchange):
             self._merge(state)
 
     def full_state(self) -> Exchange:
-        """Return everything this node knows."""
+        """Return all members and facts known to this node."""
         facts = tuple(Fact(name, value) for name, value in sorted(self.swim.facts.items()))
         return Exchange(tuple(self.swim.members.values()), facts)
 
     def answer_digest(self, digest: Digest) -> DigestAnswer:
-        """Answer a peer's digest."""
+        """Compare a peer's digest with this node's."""
         return DigestAnswer(digest.state_hash == self.swim.state_hash())
 
     def answer_exchange(self, state: Exchange) -> Exchange:
-        """Merge a peer's state and return this node's."""
+        """Merge a peer's state and return the resulting state of this node."""
         self._merge(state)
         return self.full_state()
 
     def _merge(self, state: Exchange) -> None:
         self.swim.merge(state.members, state.facts)
-        self._drain()
+        self._process_outputs()
 
     def raise_fact(self, name: str, value: int) -> None:
-        """Raise a fact for the whole fleet."""
+        """Raise the value of a fact on all nodes; ignored unless it is higher."""
         self.swim.raise_fact(name, value)
-        self._drain()
+        self._process_outputs()
 
     # -- NodeLinks --------------------------------------------------------------------------
 
     async def request(self, node: str, message: object, timeout_s: float) -> Result[Any, Problem]:
-        """Send a message to a node and wait for its answer; see ``PeerConnection.request``."""
+        """Send a request to a node and wait for its answer; see ``PeerConnection.request``."""
         member = self.swim.members.get(node)
         if member is None:
-            return Failure(Problem(ResultCode.PEER_UNREACHABLE, "unknown node", node))
+            return Failure(Problem(ResultCode.PEER_UNREACHABLE, "node is not a known member", node))
         return await self._network.request(member.address, message, timeout_s)
 
     def post(self, node: str, message: object) -> None:
-        """Send a message that may be lost."""
+        """Send a one-way message; dropped if too many tasks are pending."""
         member = self.swim.members.get(node)
         if member is not None and len(self._tasks) < MAX_POSTS_WAITING:
             self._spawn(self._network.send(member.address, message))
 
     def is_reachable(self, node: str) -> bool:
-        """Whether a node is believed to run in a zone that answers."""
+        """Whether a node is not known to be dead and its zone is reachable."""
         return self.swim.is_reachable(node)
 
     def incarnation_of(self, node: str) -> str | None:
-        """The incarnation a node announced last, if any is known."""
+        """Return the last incarnation announced by a node; ``None`` if unknown."""
         member = self.swim.members.get(node)
         return (member.incarnation or None) if member is not None else None
 
     def is_retiring(self, node: str) -> bool:
-        """Whether a node is leaving, was declared dead by its own zone, or was never heard of."""
+        """Whether a node is leaving, declared dead by its own zone, or unknown."""
         member = self.swim.members.get(node)
         return member is None or not member.takes_work
 
     def candidates(self, key: str, preferred_zone: str | None = None) -> list[str]:
-        """Live nodes by rendezvous hash of ``key``, the zones taking turns."""
-        by_zone: dict[str, list[tuple[int, str]]] = {}
+        """Return the live nodes by rendezvous hash of ``key``, alternating between zones."""
+        nodes_by_zone: dict[str, list[tuple[int, str]]] = {}
         for member in self.swim.members.values():
             if member.takes_work and member.incarnation:
                 weight = text_hash(f"{key}\n{member.node}")
-                by_zone.setdefault(member.zone, []).append((weight, member.node))
-        preferred = sorted(by_zone.pop(preferred_zone or "", []), reverse=True)
-        queues = sorted((sorted(nodes, reverse=True) for nodes in by_zone.values()), reverse=True)
+                nodes_by_zone.setdefault(member.zone, []).append((weight, member.node))
+        preferred = sorted(nodes_by_zone.pop(preferred_zone or "", []), reverse=True)
+        queues = sorted(
+            (sorted(nodes, reverse=True) for nodes in nodes_by_zone.values()), reverse=True
+        )
         ordered = [node for _, node in preferred]
         while any(queues):
             for queue in queues:
--- a/src/hollowrack/membership/swim.py
+++ b/src/hollowrack/membership/swim.py
@@ -1,13 +1,12 @@
-"""Failure detection and dissemination, as a state machine without I/O, clock or randomness.
+"""SWIM failure detection and dissemination: a state machine without I/O.
 
-SWIM (Das, Gupta and Motivala, 2002) with three changes that this fleet needs:
+Time and randomness are inputs. Differences from SWIM (Das, Gupta and Motivala, 2002):
 
-* A node is watched by a fixed number of neighbours on a ring of its own zone instead of random
-  probers, so the time to the first missed probe is bounded and the cost does not grow with the
-  fleet.
-* Only nodes of the same zone may suspect a node. What another zone sees is reachability of the zone
-  as a whole, so a cut is one event and never fifty deaths.
-* A few probes cross zones; they carry rumours over and keep track of which zones answer.
+* A node is probed by a fixed number of neighbours on a ring of its zone, not by random members.
+  This bounds the time to the first missed probe, at a cost independent of the number of nodes.
+* Only nodes of the same zone may suspect a node. Other zones only track whether the whole zone is
+  reachable, so a network partition between zones does not mark its nodes as dead.
+* A few probes cross zones; they disseminate updates and detect unreachable zones.
 """
 
 import random
@@ -39,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Datagram:
-    """A message to a node's address."""
+    """Outgoing message and the address of its recipient."""
 
     address: str
     message: GossipMessage
@@ -47,26 +46,44 @@
 
 @dataclass
 class _Probe:
-    """A ping that waits for its ack."""
+    """Probe that waits for its ack.
+
+    Attributes:
+        target: Probed node.
+        sent_s: Time of the first ping, in seconds.
+        num_pings: Direct pings sent.
+        is_indirect: Whether indirect probes have been requested.
+    """
 
     target: str
-    sent_at_s: float
+    sent_s: float
     num_pings: int = 1
     is_indirect: bool = False
 
 
 @dataclass
 class _Relay:
-    """A ping sent on behalf of another node."""
+    """Ping sent on behalf of another node.
+
+    Attributes:
+        origin_address: Address of the requesting node.
+        origin_number: Number of its probe.
+        expires_s: Time after which an ack is not forwarded, in seconds.
+    """
 
     origin_address: str
     origin_number: int
-    expires_at_s: float
+    expires_s: float
 
 
 @dataclass(frozen=True)
 class MembershipChange:
-    """A member's status as it changed at this node."""
+    """Status change of a member as seen by this node.
+
+    Attributes:
+        member: The member with its new status.
+        previous: Status before the change; ``None`` for a new member.
+    """
 
     member: Member
     previous: MemberStatus | None
@@ -74,24 +91,29 @@
 
 @dataclass
 class _ZoneContact:
-    """When a zone was last heard from, and since when it has been probed in vain."""
+    """Reachability of a zone.
+
+    Attributes:
+        last_message_s: Time of the last message from the zone, in seconds.
+        unanswered_since_s: Time of the first failed probe after that; ``None`` without one.
+    """
 
-    last_heard_s: float
+    last_message_s: float
     unanswered_since_s: float | None = field(default=None)
 
 
 class Swim:
-    """The membership protocol of one node.
+    """Membership protocol of one node.
 
-    Outgoing datagrams gather in ``outbox``, status changes in ``changes``, risen facts in
-    ``risen_facts`` and peers to compare everything with in ``exchange_with``; the owner drains them
-    after each call. The full exchanges catch what rumours missed, as after a cut.
+    Outgoing datagrams are collected in ``outbox``, status changes in ``changes``, raised facts in
+    ``risen_facts`` and peers for a full-state exchange in ``exchange_with``; the caller drains them
+    after each call. The exchanges repair updates that were lost, for example in a partition.
 
     Args:
-        own: This node's own entry.
-        seeds: Members to start from.
-        rng: Source of randomness.
-        now_s: Present time in seconds on the owner's monotonic clock.
+        own: Member entry of this node.
+        seeds: Initial members.
+        rng: Random source of probe times and peers.
+        now_s: Current time of the caller's monotonic clock, in seconds.
     """
 
     def __init__(
@@ -106,42 +128,42 @@
         self.exchange_with: list[str] = []
         self._rng = rng
         self._now_s = now_s
-        self._numbers = 0
+        self._last_number = 0
         self._probes: dict[int, _Probe] = {}
         self._relays: dict[int, _Relay] = {}
-        self._suspected_at_s: dict[str, float] = {}
-        self._died_at_s: dict[str, float] = {}
+        self._suspected_s: dict[str, float] = {}
+        self._dead_since_s: dict[str, float] = {}
         self._zones: dict[str, _ZoneContact] = {}
-        self._member_rumours: RumourQueue[Member] = RumourQueue()
-        self._fact_rumours: RumourQueue[Fact] = RumourQueue()
+        self._member_updates: RumourQueue[Member] = RumourQueue()
+        self._fact_updates: RumourQueue[Fact] = RumourQueue()
         self._next_probe_s = now_s + rng.uniform(0, PROBE_INTERVAL_S)
         self._next_exchange_s = now_s
-        self._ring: list[str] | None = None
+        self._cached_ring: list[str] | None = None
         for seed in seeds:
             self._merge_member(seed)
-        # What everybody starts from is no news; the full exchanges settle any difference.
-        self._member_rumours.clear()
-        # Merging the seeds may have raised this node's generation above an earlier life's.
-        self._member_rumours.add(own.node, self.own)
+        # Seeds are known to all nodes; full-state exchanges resolve differences.
+        self._member_updates.clear()
+        # Merging the seeds may have raised this node's generation above an earlier incarnation's.
+        self._member_updates.add(own.node, self.own)
 
-    # -- reads ------------------------------------------------------------------------------
+    # -- queries ----------------------------------------------------------------------------
 
     def is_reachable(self, node: str) -> bool:
-        """Whether a node is believed to run in a zone that answers."""
+        """Whether a node is not known to be dead and its zone is reachable."""
         member = self.members.get(node)
         if member is None or not member.is_running:
             return False
         return self.is_zone_reachable(member.zone)
 
     def is_zone_reachable(self, zone: str) -> bool:
-        """Whether a zone answered lately; unknown zones count as reachable."""
+        """Whether a zone has answered recently; unknown zones count as reachable."""
         contact = self._zones.get(zone)
         if zone == self.own.zone or contact is None or contact.unanswered_since_s is None:
             return True
         return self._now_s - contact.unanswered_since_s < ZONE_UNREACHABLE_AFTER_S
 
     def state_hash(self) -> int:
-        """Return a hash that is equal on nodes that know the same."""
+        """Return a hash of members and facts, equal on nodes with the same state."""
         digest = xxhash.xxh64()
         for node in sorted(self.members):
             member = self.members[node]
@@ -153,7 +175,7 @@
     # -- inputs -----------------------------------------------------------------------------
 
     def tick(self, now_s: float) -> None:
-        """Let time pass: probes, their timeouts and suspicions that ran out."""
+        """Advance the time: sends probes and handles timeouts of probes and suspicions."""
         self._now_s = now_s
         if now_s >= self._next_probe_s:
             self._next_probe_s = now_s + PROBE_INTERVAL_S
@@ -162,12 +184,12 @@
             self._start_exchange()
         self._check_probes()
         self._check_suspicions()
-        self._forget()
+        self._remove_dead_members()
 
     def receive(self, sender: str, message: GossipMessage) -> None:
-        """Handle a datagram from the node named ``sender``."""
+        """Handle a datagram of the node ``sender``."""
         self.merge(message.rumours.members, message.rumours.facts)
-        self._heard_from(sender)
+        self._record_contact(sender)
         match message:
             case Ping():
                 self._answer_ping(sender, message)
@@ -177,27 +199,27 @@
                 self._relay_ping(sender, message)
 
     def merge(self, members: Iterable[Member], facts: Iterable[Fact]) -> None:
-        """Take in what another node knows."""
+        """Merge members and facts known to another node."""
         for member in members:
             self._merge_member(member)
         for fact in facts:
             self.raise_fact(fact.name, fact.value)
 
     def raise_fact(self, name: str, value: int) -> bool:
-        """Raise a fact and spread it; lower values are ignored. Returns whether it rose."""
+        """Raise a fact and disseminate it; returns ``False`` unless the value is higher."""
         if value <= self.facts.get(name, -1):
             return False
         self.facts[name] = value
         fact = Fact(name, value)
-        self._fact_rumours.add(name, fact)
+        self._fact_updates.add(name, fact)
         self.risen_facts.append(fact)
         return True
 
     def leave(self) -> None:
         """Announce a planned stop."""
-        self._restate_own(MemberStatus.LEAVING)
+        self._update_own(MemberStatus.LEAVING)
 
-    # -- full exchanges ---------------------------------------------------------------------
+    # -- full-state exchange ----------------------------------------------------------------
 
     def _start_exchange(self) -> None:
         others = sorted(
@@ -214,33 +236,33 @@
     # -- probing ----------------------------------------------------------------------------
 
     def _probe_round(self) -> None:
-        for target in self._watched():
+        for target in self._probe_targets():
             self._start_probe(target)
         cross_zone = self._cross_zone_target()
         if cross_zone is not None:
             self._start_probe(cross_zone)
 
-    def _watched(self) -> list[str]:
-        """The neighbours on the zone's ring that this node watches."""
+    def _probe_targets(self) -> list[str]:
+        """Return the nodes after this one on the zone's ring, which this node probes."""
         ring = self._zone_ring()
         position = ring.index(self.own.node)
         after = ring[position + 1 :] + ring[:position]
         return after[:NUM_WATCHERS]
 
     def _zone_ring(self) -> list[str]:
-        if self._ring is None:
-            zone_mates = [
+        if self._cached_ring is None:
+            zone_members = [
                 member.node
                 for member in self.members.values()
                 if member.zone == self.own.zone and member.is_running
             ]
-            self._ring = sorted(
-                {*zone_mates, self.own.node}, key=lambda node: (text_hash(node), node)
+            self._cached_ring = sorted(
+                {*zone_members, self.own.node}, key=lambda node: (text_hash(node), node)
             )
-        return self._ring
+        return self._cached_ring
 
     def _cross_zone_target(self) -> str | None:
-        """A node of another zone, if this node is one of its zone's delegates this round."""
+        """Return a random node of another zone if this node is one of its zone's delegates."""
         ring = self._zone_ring()
         if ring.index(self.own.node) >= max(NUM_ZONE_DELEGATES, len(ring) // 8):
             return None
@@ -258,40 +280,40 @@
 
     def _ping(self, target: str, number: int) -> None:
         member = self.members[target]
-        rumours = self._rumours()
-        if member.status is MemberStatus.SUSPECT and member not in rumours.members:
-            # The suspect must hear of it, to be able to refute.
-            rumours = replace(rumours, members=(*rumours.members, member))
-        self.outbox.append(Datagram(member.address, Ping(number, rumours)))
+        updates = self._next_updates()
+        if member.status is MemberStatus.SUSPECT and member not in updates.members:
+            # The suspect must receive the suspicion in order to refute it.
+            updates = replace(updates, members=(*updates.members, member))
+        self.outbox.append(Datagram(member.address, Ping(number, updates)))
 
     def _check_probes(self) -> None:
         for number, probe in list(self._probes.items()):
             if probe.target not in self.members:
                 del self._probes[number]
                 continue
-            waited_s = self._now_s - probe.sent_at_s
-            if waited_s >= PROBE_TIMEOUT_S:
+            elapsed_s = self._now_s - probe.sent_s
+            if elapsed_s >= PROBE_TIMEOUT_S:
                 del self._probes[number]
-                self._probe_failed(probe.target)
-            elif waited_s >= INDIRECT_AFTER_S and not probe.is_indirect:
+                self._on_probe_failed(probe.target)
+            elif elapsed_s >= INDIRECT_AFTER_S and not probe.is_indirect:
                 probe.is_indirect = True
                 self._probe_indirectly(probe.target, number)
-            elif waited_s >= PROBE_RETRY_S and probe.num_pings == 1:
+            elif elapsed_s >= PROBE_RETRY_S and probe.num_pings == 1:
                 probe.num_pings += 1
                 self._ping(probe.target, number)
         for number, relay in list(self._relays.items()):
-            if self._now_s >= relay.expires_at_s:
+            if self._now_s >= relay.expires_s:
                 del self._relays[number]
 
     def _probe_indirectly(self, target: str, number: int) -> None:
-        helpers = [node for node in self._zone_ring() if node not in (self.own.node, target)]
+        candidates = [node for node in self._zone_ring() if node not in (self.own.node, target)]
         if self.members[target].zone != self.own.zone:
             return
-        for helper in self._rng.sample(helpers, min(NUM_INDIRECT, len(helpers))):
-            request = PingRequest(number, target, self._rumours())
-            self.outbox.append(Datagram(self.members[helper].address, request))
+        for relay_node in self._rng.sample(candidates, min(NUM_INDIRECT, len(candidates))):
+            request = PingRequest(number, target, self._next_updates())
+            self.outbox.append(Datagram(self.members[relay_node].address, request))
 
-    def _probe_failed(self, target: str) -> None:
+    def _on_probe_failed(self, target: str) -> None:
         member = self.members[target]
         if member.zone != self.own.zone:
             contact = self._zones.setdefault(member.zone, _ZoneContact(self._now_s))
@@ -304,23 +326,23 @@
                 suspect = member.with_status(MemberStatus.DEAD)
             self._merge_member(suspect)
 
-    # -- answering --------------------------------------------------------------------------
+    # -- replies ----------------------------------------------------------------------------
 
     def _answer_ping(self, sender: str, message: Ping) -> None:
         member = self.members.get(sender)
         if member is None:
             return
-        rumours = self._rumours()
-        if member.status is not MemberStatus.ALIVE and member not in rumours.members:
-            # A node that is thought dead and still pings must hear of it, to be able to refute.
-            rumours = replace(rumours, members=(*rumours.members, member))
-        self.outbox.append(Datagram(member.address, Ack(message.number, rumours)))
+        updates = self._next_updates()
+        if member.status is not MemberStatus.ALIVE and member not in updates.members:
+            # A node that is wrongly considered dead must receive that status in order to refute it.
+            updates = replace(updates, members=(*updates.members, member))
+        self.outbox.append(Datagram(member.address, Ack(message.number, updates)))
 
     def _on_ack(self, message: Ack) -> None:
         self._probes.pop(message.number, None)
         relay = self._relays.pop(message.number, None)
         if relay is not None:
-            ack = Ack(relay.origin_number, self._rumours())
+            ack = Ack(relay.origin_number, self._next_updates())
             self.outbox.append(Datagram(relay.origin_address, ack))
 
     def _relay_ping(self, sender: str, message: PingRequest) -> None:
@@ -328,16 +350,16 @@
         if origin is None or message.target not in self.members:
             return
         number = self._next_number()
-        expires_at_s = self._now_s + PROBE_TIMEOUT_S
-        self._relays[number] = _Relay(origin.address, message.number, expires_at_s)
+        expires_s = self._now_s + PROBE_TIMEOUT_S
+        self._relays[number] = _Relay(origin.address, message.number, expires_s)
         self._ping(message.target, number)
 
-    def _heard_from(self, sender: str) -> None:
+    def _record_contact(self, sender: str) -> None:
         member = self.members.get(sender)
         if member is None:
             return
         contact = self._zones.setdefault(member.zone, _ZoneContact(self._now_s))
-        contact.last_heard_s = self._now_s
+        contact.last_message_s = self._now_s
         contact.unanswered_since_s = None
 
     # -- merging ----------------------------------------------------------------------------
@@ -352,57 +374,55 @@
         if known is None and member.status is MemberStatus.DEAD:
             return
         self.members[member.node] = member
-        self._ring = None
-        self._member_rumours.add(member.node, member)
-        self._note_status(member)
+        self._cached_ring = None
+        self._member_updates.add(member.node, member)
+        self._record_status_time(member)
         previous = known.status if known is not None else None
         self.changes.append(MembershipChange(member, previous))
 
-    def _note_status(self, member: Member) -> None:
-        self._suspected_at_s.pop(member.node, None)
-        self._died_at_s.pop(member.node, None)
+    def _record_status_time(self, member: Member) -> None:
+        self._suspected_s.pop(member.node, None)
+        self._dead_since_s.pop(member.node, None)
         if member.status is MemberStatus.SUSPECT:
-            self._suspected_at_s[member.node] = self._now_s
+            self._suspected_s[member.node] = self._now_s
         elif member.status is MemberStatus.DEAD:
-            self._died_at_s[member.node] = self._now_s
+            self._dead_since_s[member.node] = self._now_s
 
-    def _refute(self, statement: Member) -> None:
-        """Overrule a statement about this node that is not what it says of itself."""
-        is_own_statement = (
-            statement.incarnation == self.own.incarnation and statement.rank <= self.own.rank
-        )
-        if is_own_statement or statement.generation < self.own.generation:
+    def _refute(self, update: Member) -> None:
+        """Override a wrong update about this node with a higher generation."""
+        is_own_update = update.incarnation == self.own.incarnation and update.rank <= self.own.rank
+        if is_own_update or update.generation < self.own.generation:
             return
-        self.own = replace(self.own, generation=statement.generation + 1)
-        self._restate_own(self.own.status)
+        self.own = replace(self.own, generation=update.generation + 1)
+        self._update_own(self.own.status)
 
-    def _restate_own(self, status: MemberStatus) -> None:
+    def _update_own(self, status: MemberStatus) -> None:
         self.own = self.own.with_status(status)
         self.members[self.own.node] = self.own
-        self._member_rumours.add(self.own.node, self.own)
+        self._member_updates.add(self.own.node, self.own)
 
     def _check_suspicions(self) -> None:
-        for node, suspected_at_s in list(self._suspected_at_s.items()):
+        for node, suspected_s in list(self._suspected_s.items()):
             member = self.members[node]
             if member.zone != self.own.zone:
-                continue  # Only its own zone may declare a node dead.
-            if self._now_s - suspected_at_s >= SUSPICION_S:
+                continue  # Only nodes of its own zone may declare a node dead.
+            if self._now_s - suspected_s >= SUSPICION_S:
                 self._merge_member(member.with_status(MemberStatus.DEAD))
 
-    def _forget(self) -> None:
-        for node, died_at_s in list(self._died_at_s.items()):
-            if self._now_s - died_at_s >= FORGET_DEAD_AFTER_S:
-                del self._died_at_s[node]
+    def _remove_dead_members(self) -> None:
+        for node, dead_since_s in list(self._dead_since_s.items()):
+            if self._now_s - dead_since_s >= FORGET_DEAD_AFTER_S:
+                del self._dead_since_s[node]
                 del self.members[node]
-                self._ring = None
+                self._cached_ring = None
 
-    def _rumours(self) -> Rumours:
+    def _next_updates(self) -> Rumours:
         num_members = len(self.members)
         return Rumours(
-            self._member_rumours.take(MAX_MEMBERS_PER_DATAGRAM, num_members),
-            self._fact_rumours.take(MAX_FACTS_PER_DATAGRAM, num_members),
+            self._member_updates.take(MAX_MEMBERS_PER_DATAGRAM, num_members),
+            self._fact_updates.take(MAX_FACTS_PER_DATAGRAM, num_members),
         )
 
     def _next_number(self) -> int:
-        self._numbers += 1
-        return self._numbers
+        self._last_number += 1
+        return self._last_number
--- a/src/hollowrack/membership/types.py
+++ b/src/hollowrack/membership/types.py
@@ -1,11 +1,11 @@
-"""Members, their status and the facts that spread with them."""
+"""Members, their status, and facts disseminated with them."""
 
 from dataclasses import dataclass, replace
 from enum import IntEnum
 
 
 class MemberStatus(IntEnum):
-    """Status of a member; at equal generation the higher value wins."""
+    """Status of a member; at equal generation the higher value takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -15,16 +15,15 @@
 
 @dataclass(frozen=True)
 class Member:
-    """One node as known to another.
+    """State of a node as known to another.
 
     Attributes:
-        node: Name.
-        zone: Zone it runs in.
+        node: Name of the node.
+        zone: Zone of the node.
         address: ``IP:PORT`` of its node listener, for TCP and UDP.
-        incarnation: Identifier of its memory; changes when it restarts without a disk.
-        generation: Raised by the node itself to refute what others say of it (SWIM's incarnation
-            number).
-        status: Whether it runs.
+        incarnation: Identifier of its state; changes at a restart without a data directory.
+        generation: SWIM's incarnation number; raised by the node to refute a suspicion.
+        status: Status according to the latest update.
     """
 
     node: str
@@ -36,29 +35,29 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Order of statements about one node: the highest wins."""
+        """Precedence of updates about one node: the highest wins."""
         return (self.generation, int(self.status))
 
     @property
     def is_running(self) -> bool:
-        """Whether the node can be expected to answer."""
+        """Whether the node is not declared dead."""
         return self.status is not MemberStatus.DEAD
 
     @property
     def takes_work(self) -> bool:
-        """Whether the node should be given new work."""
+        """Whether the node may be given new work."""
         return self.status in (MemberStatus.ALIVE, MemberStatus.SUSPECT)
 
     def with_status(self, status: MemberStatus) -> "Member":
-        """The same statement with another status."""
+        """Return the member with another status."""
         return replace(self, status=status)
 
 
 @dataclass(frozen=True)
 class Fact:
-    """A number that only rises, known by name to the whole fleet.
+    """Named integer that only increases, replicated to all nodes.
 
-    Examples: the bundle revision in force, the weight version a model should run, a leaving mark.
+    Examples: the active bundle revision, the target weight version of a model, a leaving mark.
     """
 
     name: str
