--- a/src/hollowrack/membership/datagrams.py
+++ b/src/hollowrack/membership/datagrams.py
@@ -17,7 +17,7 @@
 _TAG_BYTES = 16
 _SESSION_ID_BYTES = 8
 _REPLAY_WINDOW = 256
-_SEALED_FIELDS = 4
+_NUM_PAYLOAD_FIELDS = 4
 
 
 @dataclass
@@ -86,7 +86,7 @@
             fields = cbor2.loads(payload)
         except (cbor2.CBORDecodeError, ValueError, EOFError) as error:
             return _rejected(ResultCode.MESSAGE_INVALID, str(error))
-        if not isinstance(fields, list) or len(fields) != _SEALED_FIELDS:
+        if not isinstance(fields, list) or len(fields) != _NUM_PAYLOAD_FIELDS:
             return _rejected(
                 ResultCode.MESSAGE_INVALID,
                 "payload is not a list of sender, session, number and body",
--- a/src/hollowrack/membership/swim.py
+++ b/src/hollowrack/membership/swim.py
@@ -5,7 +5,7 @@
 * A node is probed by a fixed number of neighbours on a ring of its zone, not by random members.
   This bounds the time to the first missed probe, at a cost independent of the number of nodes.
 * Only nodes of the same zone may suspect a node. Other zones only track whether the whole zone is
-  reachable, so a network partition between zones does not mark its nodes as dead.
+  reachable, so a partition between zones causes no false deaths.
 * A few probes cross zones; they disseminate updates and detect unreachable zones.
 """
 
