--- a/src/hollowrack/forwarding/dispatch_queue.py
+++ b/src/hollowrack/forwarding/dispatch_queue.py
@@ -13,7 +13,7 @@
 from hollowrack.forwarding.types import Worker, WorkerIncarnation
 from hollowrack.forwarding.workers import Eligible, WorkerDirectory
 
-# Interval of dispatch passes while runs wait: the end of a worker's pause triggers no event.
+# Interval of dispatch passes while runs wait: the end of a worker's backoff triggers no event.
 DISPATCH_POLL_INTERVAL_S = 0.05
 
 RankOf = Callable[[], DispatchRank]
--- a/src/hollowrack/forwarding/run_retry_policy.py
+++ b/src/hollowrack/forwarding/run_retry_policy.py
@@ -71,9 +71,9 @@
     def record_no_progress(self, worker: Worker) -> None:
         """Record that a worker failed or timed out before it produced an event."""
         self._failed_at.add(worker.incarnation)
-        pause_s = self._backoff.next_delay_s()
-        self._retry_any_from_s = now_s() + pause_s
-        self._retry_others_from_s = now_s() + min(pause_s, MAX_OTHER_WORKER_BACKOFF_S)
+        backoff_s = self._backoff.next_delay_s()
+        self._retry_any_from_s = now_s() + backoff_s
+        self._retry_others_from_s = now_s() + min(backoff_s, MAX_OTHER_WORKER_BACKOFF_S)
 
     def may_begin(self, worker: Worker) -> bool:
         """Whether the run may start at a worker now."""
--- a/src/hollowrack/forwarding/worker_load.py
+++ b/src/hollowrack/forwarding/worker_load.py
@@ -54,11 +54,11 @@
         log_factor = self._decayed_log()
         return math.exp(log_factor) if abs(log_factor) >= math.log(MIN_FACTOR) else 1.0
 
-    def update(self, factor: float, share: float) -> None:
+    def update(self, factor: float, weight: float) -> None:
         """Update the moving average by a new factor with a weight from 0 to 1."""
         bounded = max(1.0 / MAX_FACTOR, min(MAX_FACTOR, factor))
         current = self._decayed_log()
-        self._log = current + share * (math.log(bounded) - current)
+        self._log = current + weight * (math.log(bounded) - current)
         self._updated_s = now_s()
 
     def _decayed_log(self) -> float:
@@ -91,8 +91,8 @@
 
     def record(self, log_s: float) -> None:
         self.num_answers += 1
-        share = max(ROUTE_LATENCY_WEIGHT, 1.0 / self.num_answers)
-        self.log_s += share * (log_s - self.log_s)
+        weight = max(ROUTE_LATENCY_WEIGHT, 1.0 / self.num_answers)
+        self.log_s += weight * (log_s - self.log_s)
 
 
 class WorkerLoads:
--- a/src/hollowrack/forwarding/workers.py
+++ b/src/hollowrack/forwarding/workers.py
@@ -29,7 +29,7 @@
     """This node's requests to one incarnation of a worker and the failures it observed."""
 
     num_in_flight: int = 0
-    paused_until_s: float = -float("inf")
+    backoff_until_s: float = -float("inf")
     num_consecutive_failures: int = 0
     num_consecutive_refusals: int = 0
     failure_score: float = 0.0
@@ -145,7 +145,7 @@
         candidates = [
             worker for worker in self.serving(service) if worker.incarnation not in excluded
         ]
-        ready = [worker for worker in candidates if not self._is_paused(worker)]
+        ready = [worker for worker in candidates if not self._is_backing_off(worker)]
         return self.loads.choose(ready or candidates)
 
     def choose_for_hedge(
@@ -153,14 +153,14 @@
     ) -> Worker | None:
         """Choose a worker for a hedged attempt of a request that is late at another worker.
 
-        Only workers that have a free slot, are not paused after a failure and are expected to
+        Only workers that have a free slot, are not backing off and are expected to
         answer sooner are considered: if all workers are slow, hedging only adds load.
         """
         candidates = [
             worker
             for worker in self.serving(late.service)
             if worker.incarnation not in excluded
-            and not self._is_paused(worker)
+            and not self._is_backing_off(worker)
             and self.loads.has_free_slot(worker)
             and self.loads.is_sooner(worker, late)
         ]
@@ -178,10 +178,10 @@
         """
         lowest_s: float | None = None
         for worker in self.serving(service):
-            time_s = self.loads.expected_latency_s(worker, work)
-            if time_s is None or self.loads.has_free_slot(worker):
+            latency_s = self.loads.expected_latency_s(worker, work)
+            if latency_s is None or self.loads.has_free_slot(worker):
                 return None
-            lowest_s = time_s if lowest_s is None else min(lowest_s, time_s)
+            lowest_s = latency_s if lowest_s is None else min(lowest_s, latency_s)
         return lowest_s
 
     def choose_for_run(
@@ -232,7 +232,7 @@
         """
         return any(
             self._has_free_slot(worker, limit)
-            and not self._is_paused(worker)
+            and not self._is_backing_off(worker)
             and is_eligible(worker)
             for worker in self.serving(service)
         )
@@ -288,12 +288,14 @@
 
     def record_busy(self, worker: Worker) -> None:
         """Record that a worker refused a request because it is full."""
-        if self._is_paused(worker):
+        if self._is_backing_off(worker):
             return  # Concurrent refusals count once.
         observations = self._observations_of(worker)
-        pause_s = min(MAX_BUSY_BACKOFF_S, BUSY_BACKOFF_S * 2**observations.num_consecutive_refusals)
+        backoff_s = min(
+            MAX_BUSY_BACKOFF_S, BUSY_BACKOFF_S * 2**observations.num_consecutive_refusals
+        )
         observations.num_consecutive_refusals += 1
-        self._pause(worker, pause_s)
+        self._back_off(worker, backoff_s)
 
     def record_failure(self, worker: Worker) -> None:
         """Record that a worker sent an incomplete answer or none."""
@@ -301,7 +303,7 @@
         observations = self._observations_of(worker)
         observations.num_consecutive_failures += 1
         observations.failure_score = observations.failure_score * FAILURE_DECAY + 1.0
-        self._pause(worker, FAILURE_BACKOFF_S * observations.num_consecutive_failures)
+        self._back_off(worker, FAILURE_BACKOFF_S * observations.num_consecutive_failures)
 
     def record_unreachable(self, worker: Worker) -> None:
         """Record that no connection to a worker could be established."""
@@ -309,8 +311,8 @@
         observations = self._observations_of(worker)
         observations.num_consecutive_failures += 1
         observations.failure_score = observations.failure_score * FAILURE_DECAY + 1.0
-        pause_s = UNREACHABLE_BACKOFF_S * 2 ** min(observations.num_consecutive_failures - 1, 5)
-        self._pause(worker, min(pause_s, MAX_UNREACHABLE_BACKOFF_S))
+        backoff_s = UNREACHABLE_BACKOFF_S * 2 ** min(observations.num_consecutive_failures - 1, 5)
+        self._back_off(worker, min(backoff_s, MAX_UNREACHABLE_BACKOFF_S))
 
     def record_not_run(self, worker: Worker, reason: NotRunReason) -> None:
         """Record that a worker certainly did not run a request."""
@@ -347,16 +349,16 @@
             self._observations.pop(worker.incarnation, None)
             self._event_intervals.remove(worker.incarnation)
 
-    def _pause(self, worker: Worker, pause_s: float) -> None:
+    def _back_off(self, worker: Worker, backoff_s: float) -> None:
         observations = self._observations_of(worker)
-        observations.paused_until_s = max(observations.paused_until_s, now_s() + pause_s)
+        observations.backoff_until_s = max(observations.backoff_until_s, now_s() + backoff_s)
 
-    def _is_paused(self, worker: Worker) -> bool:
-        return now_s() < self._observations_of(worker).paused_until_s
+    def _is_backing_off(self, worker: Worker) -> bool:
+        return now_s() < self._observations_of(worker).backoff_until_s
 
     def _usable(self, workers: list[Worker]) -> list[Worker]:
-        """Return the workers that are not paused, without much slower ones if there are others."""
-        ready = [worker for worker in workers if not self._is_paused(worker)]
+        """Return the workers not in backoff, without much slower ones if there are others."""
+        ready = [worker for worker in workers if not self._is_backing_off(worker)]
         if any(not self.is_much_slower(worker) for worker in workers):
             return [worker for worker in ready if not self.is_much_slower(worker)]
         return ready
