--- a/src/hollowrack/routing/__init__.py
+++ b/src/hollowrack/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which back end serves a request: pure choices over a snapshot of the fleet."""
+"""Routing: selects the back end of a request from a snapshot of the fleet."""
--- a/src/hollowrack/routing/broker.py
+++ b/src/hollowrack/routing/broker.py
@@ -1,10 +1,10 @@
-"""Placement brokers: one node a zone and pool places all requests on that zone's engines.
+"""Placement brokers: one node per zone and pool places all requests on that zone's engines.
 
-Load reports are old by the time they arrive, and nodes that decide by the same old report fill the
-same room several times. The broker counts every placement itself, so it knows the load of its
-engines without waiting for a report. It is chosen by rendezvous hash among the zone's live nodes;
-its counts are soft state that nodes restate every second, so a new broker knows them soon. Nothing
-that must hold rests on it: a node that gets no answer places by what it knows itself.
+Load reports lag, and nodes that decide by the same stale report overcommit the same slots. The
+broker counts every placement, so it knows the load of its engines without waiting for a report. It
+is selected by rendezvous hashing among the zone's live nodes. Its counts are soft state, rebuilt
+from the nodes' periodic reports. Correctness does not depend on it: a node that gets no answer
+places requests by its own view.
 """
 
 import asyncio
@@ -27,14 +27,14 @@
 RESTATE_INTERVAL_S = 1.0
 PLACE_TIMEOUT_MARGIN_S = 0.5
 MAX_OTHER_ZONES_ASKED = 2
-# A placement that its node has not restated for this long is taken for finished.
+# A placement that its node has not reported for this long is considered finished.
 FORGOTTEN_AFTER_S = 3.0
 
 
 @message("placement.place")
 @dataclass(frozen=True)
 class PlaceRequest:
-    """Asks a broker to place a request on the engines of its zone."""
+    """Request to a broker to place a request on the engines of a zone."""
 
     node: str
     zone: str
@@ -44,7 +44,13 @@
 @message("placement.done")
 @dataclass(frozen=True)
 class PlacementDone:
-    """Tells a broker that a placement ended."""
+    """Notifies a broker that a placement ended.
+
+    Attributes:
+        placement: The placement.
+        outcome: How it ended.
+        service_s: Duration of the attempt, in seconds.
+    """
 
     placement: Placement
     outcome: PlacementOutcome
@@ -54,7 +60,7 @@
 @message("placement.held")
 @dataclass(frozen=True)
 class HeldPlacements:
-    """Everything a node has placed on the engines of one zone and pool."""
+    """Report of all placements that a node has in progress on the engines of one zone and pool."""
 
     node: str
     zone: str
@@ -67,28 +73,42 @@
 
 
 @dataclass
-class _Held:
+class _ActivePlacement:
+    """A placement in progress.
+
+    Attributes:
+        placement: The placement.
+        node: Node that requested it.
+        last_report_s: Time of the node's last report of it, in seconds.
+    """
+
     placement: Placement
     node: str
-    restated_s: float
+    last_report_s: float
 
 
 @dataclass
 class _Zone:
-    """What the broker keeps for one zone."""
+    """The broker's state for one zone.
+
+    Attributes:
+        placer: Places requests on the zone's engines.
+        admission: Admission controller of the zone.
+        active: Placements in progress, by placement identifier.
+    """
 
     placer: LocalPlacer
     admission: AdmissionController
-    held: dict[str, _Held] = field(default_factory=dict)
+    active: dict[str, _ActivePlacement] = field(default_factory=dict)
 
 
 class PlacementBroker:
-    """The broker's side, on every node; serves the zones that hash to this node.
+    """Placement broker: places requests of all nodes for the zones that hash to this node.
 
     Args:
-        parts: What placing needs of its node.
-        membership: Tells which nodes died.
-        make_admission: Returns the admission controller of a zone.
+        parts: Dependencies of placement.
+        membership: Reports which nodes have failed.
+        make_admission: Creates the admission controller of a zone.
     """
 
     def __init__(
@@ -105,53 +125,56 @@
         membership.on_change.append(self._on_change)
 
     def start(self) -> None:
-        """Start forgetting what is not restated."""
+        """Start the removal of expired placements."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop; requests that wait for room are refused."""
+        """Stop; queued requests are refused."""
         await cancel_all(self._task)
         for zone in self._zones.values():
             await zone.admission.stop()
 
     def set_weights(self, weights: Mapping[str, float]) -> None:
-        """Set the tenants' shares, for zones in use and those to come."""
+        """Set the tenants' weights for current and future zones."""
         self._weights = weights
         for zone in self._zones.values():
             zone.admission.set_weights(weights)
 
     async def answer_place(self, request: PlaceRequest) -> Placement:
-        """Place a request of any node.
+        """Place a request of a node and return its placement.
 
         Raises:
             ProblemError: With a "not run" code.
         """
         zone = self._zone(request.zone)
         placement = value_or_raise(await zone.placer.place(request.request))
-        zone.held[placement.placement_id] = _Held(placement, request.node, now_s())
+        zone.active[placement.placement_id] = _ActivePlacement(placement, request.node, now_s())
         return placement
 
     def answer_done(self, done: PlacementDone) -> None:
-        """A placement ended."""
+        """Release a placement that ended."""
         zone = self._zone(done.placement.zone)
-        if zone.held.pop(done.placement.placement_id, None) is not None:
+        if zone.active.pop(done.placement.placement_id, None) is not None:
             zone.placer.finish(done.placement, done.outcome, done.service_s)
 
-    def answer_held(self, held: HeldPlacements) -> None:
-        """Compare with what a node says it holds: adopt what is new, drop what is gone."""
-        zone = self._zone(held.zone)
-        stated = {placement.placement_id for placement in held.placements}
-        for placement in held.placements:
-            known = zone.held.get(placement.placement_id)
+    def answer_held(self, report: HeldPlacements) -> None:
+        """Reconcile with a node's report: add unknown placements, drop those it does not list."""
+        zone = self._zone(report.zone)
+        reported = {placement.placement_id for placement in report.placements}
+        for placement in report.placements:
+            known = zone.active.get(placement.placement_id)
             if known is not None:
-                known.restated_s = now_s()
+                known.last_report_s = now_s()
             elif placement.address in self._parts.fleet.records:
-                zone.held[placement.placement_id] = _Held(placement, held.node, now_s())
+                zone.active[placement.placement_id] = _ActivePlacement(
+                    placement, report.node, now_s()
+                )
                 zone.placer.adopt(placement)
-        for name, entry in list(zone.held.items()):
-            is_old = now_s() - entry.restated_s >= RESTATE_INTERVAL_S
-            if entry.node == held.node and name not in stated and is_old:
-                self._drop(zone, name)
+        for placement_id, entry in list(zone.active.items()):
+            # A newer placement may have been made after the report was sent.
+            is_old = now_s() - entry.last_report_s >= RESTATE_INTERVAL_S
+            if entry.node == report.node and placement_id not in reported and is_old:
+                self._drop(zone, placement_id)
 
     def _zone(self, name: str) -> _Zone:
         zone = self._zones.get(name)
@@ -167,31 +190,31 @@
         while True:
             await asyncio.sleep(RESTATE_INTERVAL_S)
             for zone in self._zones.values():
-                for name, entry in list(zone.held.items()):
-                    if now_s() - entry.restated_s >= FORGOTTEN_AFTER_S:
-                        self._drop(zone, name)
+                for placement_id, entry in list(zone.active.items()):
+                    if now_s() - entry.last_report_s >= FORGOTTEN_AFTER_S:
+                        self._drop(zone, placement_id)
 
     def _on_change(self, change: MembershipChange) -> None:
         if change.member.is_running:
             return
         for zone in self._zones.values():
-            for name, entry in list(zone.held.items()):
+            for placement_id, entry in list(zone.active.items()):
                 if entry.node == change.member.node:
-                    self._drop(zone, name)
+                    self._drop(zone, placement_id)
 
-    def _drop(self, zone: _Zone, name: str) -> None:
-        entry = zone.held.pop(name)
+    def _drop(self, zone: _Zone, placement_id: str) -> None:
+        entry = zone.active.pop(placement_id)
         zone.placer.finish(entry.placement, PlacementOutcome.ABANDONED, 0.0)
 
 
 class BrokeredPlacer:
-    """Implements ``Placer`` by asking brokers, the own zone's first.
+    """``Placer`` that delegates to placement brokers, the one of its own zone first.
 
     Args:
-        parts: What placing needs of its node.
-        membership: Finds and reaches brokers.
+        parts: Dependencies of placement.
+        membership: Locates brokers and sends messages to them.
         broker: The broker on this node.
-        fallback: Places when no broker answers.
+        fallback: Places requests when no broker answers.
     """
 
     def __init__(
@@ -205,21 +228,25 @@
         self._membership = membership
         self._broker = broker
         self._fallback = fallback
-        self._held: dict[str, Placement] = {}
+        self._active: dict[str, Placement] = {}
+        # Identifiers of placements made by the fallback.
         self._local: set[str] = set()
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start restating what this node holds."""
+        """Start the periodic reports to brokers."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop restating."""
+        """Stop the periodic reports."""
         await cancel_all(self._task)
 
     async def place(self, request: PlacementRequest) -> Result[Placement, Problem]:
-        """Ask the own zone, then others with room, then wait at the own zone."""
-        zones = self._zones_by_room(request.route)
+        """Try the own zone, then zones with free slots, then queue at the own zone.
+
+        Places by this node's own view if a broker is unreachable.
+        """
+        zones = self._zones_by_free_slots(request.route)
         refused: Result[Placement, Problem] | None = None
         for zone in zones:
             refused = await self._place_in(zone, request, may_queue=False)
@@ -235,13 +262,13 @@
         return refused
 
     def finish(self, placement: Placement, outcome: PlacementOutcome, service_s: float) -> None:
-        """Tell whoever placed it."""
+        """Release a placement at the placer that made it."""
         if placement.placement_id in self._local:
             self._local.discard(placement.placement_id)
             self._fallback.finish(placement, outcome, service_s)
             return
-        self._held.pop(placement.placement_id, None)
-        # Direct evidence counts here at once, too.
+        self._active.pop(placement.placement_id, None)
+        # Update this node's own view at once; the broker records the outcome as well.
         self._parts.fleet.note_evidence(placement.address, outcome, now_s())
         done = PlacementDone(placement, outcome, service_s)
         broker = self.broker_of(placement.pool, placement.zone)
@@ -268,15 +295,23 @@
             request.attempt,
             may_queue,
         )
-        placed = await self._ask(zone, PlaceRequest(self._parts.node, zone, asked))
+        placed = await self._request_placement(zone, PlaceRequest(self._parts.node, zone, asked))
         if isinstance(placed, Success):
-            self._held[placed.unwrap().placement_id] = placed.unwrap()
+            self._active[placed.unwrap().placement_id] = placed.unwrap()
         return placed
 
-    async def _ask(self, zone: str, request: PlaceRequest) -> Result[Placement, Problem]:
+    async def _request_placement(
+        self, zone: str, request: PlaceRequest
+    ) -> Result[Placement, Problem]:
         broker = self.broker_of(request.request.route.pool, zone)
         if broker is None:
-            return Failure(Problem(ResultCode.PEER_UNREACHABLE, "no node to ask", zone))
+            return Failure(
+                Problem(
+                    ResultCode.PEER_UNREACHABLE,
+                    "no live node can act as the placement broker",
+                    zone,
+                )
+            )
         if broker == self._parts.node:
             return await result_of(self._broker.answer_place(request))
         timeout_s = PLACE_TIMEOUT_MARGIN_S
@@ -285,22 +320,22 @@
         return await self._membership.request(broker, request, timeout_s)
 
     def broker_of(self, pool: str, zone: str) -> str | None:
-        """Return the node that places requests on a zone's engines, as this node sees it."""
+        """Return the broker of a zone's engines by this node's view of the membership."""
         candidates = self._membership.candidates(broker_key(pool, zone), zone)
         return candidates[0] if candidates else None
 
-    def _zones_by_room(self, route: RouteRequest) -> list[str]:
-        """Return the own zone and the zones with most room by the last reports."""
-        room: dict[str, float] = {}
+    def _zones_by_free_slots(self, route: RouteRequest) -> list[str]:
+        """Return the own zone and the zones with the most free slots by the last reports."""
+        free_slots: dict[str, float] = {}
         for back_end in self._parts.fleet.snapshot(now_s(), route.pool):
             if back_end.kind is not BackEndKind.ENGINE:
                 continue
             if back_end.status is BackEndStatus.SERVING:
-                free = back_end.num_slots - back_end.estimated_live
-                room[back_end.zone] = room.get(back_end.zone, 0.0) + free
-        own = [route.zone] if route.zone in room else []
-        others = [zone for zone in room if zone != route.zone]
-        others.sort(key=lambda zone: (-room[zone], zone))
+                num_free = back_end.num_slots - back_end.estimated_live
+                free_slots[back_end.zone] = free_slots.get(back_end.zone, 0.0) + num_free
+        own = [route.zone] if route.zone in free_slots else []
+        others = [zone for zone in free_slots if zone != route.zone]
+        others.sort(key=lambda zone: (-free_slots[zone], zone))
         reachable = [zone for zone in others if self._membership.swim.is_zone_reachable(zone)]
         return own + reachable[:MAX_OTHER_ZONES_ASKED]
 
@@ -308,19 +343,19 @@
         while True:
             await asyncio.sleep(RESTATE_INTERVAL_S)
             by_broker: dict[tuple[str, str], list[Placement]] = {}
-            for placement in self._held.values():
+            for placement in self._active.values():
                 key = (placement.pool, placement.zone)
                 by_broker.setdefault(key, []).append(placement)
             for (pool, zone), placements in by_broker.items():
-                self._restate(pool, zone, tuple(placements))
+                self._report(pool, zone, tuple(placements))
 
-    def _restate(self, pool: str, zone: str, placements: tuple[Placement, ...]) -> None:
-        held = HeldPlacements(self._parts.node, zone, placements)
+    def _report(self, pool: str, zone: str, placements: tuple[Placement, ...]) -> None:
+        report = HeldPlacements(self._parts.node, zone, placements)
         broker = self.broker_of(pool, zone)
         if broker == self._parts.node:
-            self._broker.answer_held(held)
+            self._broker.answer_held(report)
         elif broker is not None:
-            self._membership.post(broker, held)
+            self._membership.post(broker, report)
 
 
 def _is_unreachable(result: Result[Placement, Problem]) -> bool:
--- a/src/hollowrack/routing/choice.py
+++ b/src/hollowrack/routing/choice.py
@@ -1,4 +1,4 @@
-"""The scored choice of a back end: synchronous, without I/O, with the random source passed in."""
+"""Back-end selection by cost: synchronous, without I/O, deterministic for a given random source."""
 
 import random
 from collections.abc import Sequence
@@ -25,13 +25,13 @@
 
 @dataclass(frozen=True)
 class RoutingCosts:
-    """What the parts of a choice cost, in milliseconds.
+    """Parameters of the routing cost function.
 
     Attributes:
-        other_zone_ms: A request to another zone instead of this one.
-        full_load_ms: Slowdown of an engine with all slots busy against an idle one.
-        prefill_block_ms: Computing one prefix block that is not cached.
-        max_affinity_load: Load share above which affinity no longer counts.
+        other_zone_ms: Added latency of a request to another zone, in milliseconds.
+        full_load_ms: Added latency of an engine with all slots busy, in milliseconds.
+        prefill_block_ms: Time to compute one prefix block that is not cached, in milliseconds.
+        max_affinity_load: Fraction of busy slots above which cached prefixes are ignored.
     """
 
     other_zone_ms: float = 2.0
@@ -41,7 +41,7 @@
 
 
 class Chooser(Protocol):
-    """Chooses a back end; :func:`choose` in the product, others as baselines in the bench."""
+    """Selects a back end; :func:`choose` in nodes, baseline policies in the benchmarks."""
 
     def __call__(
         self,
@@ -54,7 +54,7 @@
 
 
 def eligible(request: RouteRequest, back_ends: Sequence[BackEnd]) -> list[BackEnd]:
-    """Return the back ends that may serve a request at all."""
+    """Return the back ends that are allowed to serve a request."""
     return [back_end for back_end in back_ends if _is_eligible(request, back_end)]
 
 
@@ -69,10 +69,10 @@
         return False
     if back_end.weight_version < request.min_weight_version:
         return False
-    return request.priority is Priority.LIVE or _has_training_room(request, back_end)
+    return request.priority is Priority.LIVE or _has_free_training_slot(request, back_end)
 
 
-def _has_training_room(request: RouteRequest, back_end: BackEnd) -> bool:
+def _has_free_training_slot(request: RouteRequest, back_end: BackEnd) -> bool:
     return back_end.num_training < request.training_room * back_end.num_slots
 
 
@@ -83,45 +83,49 @@
     rng: random.Random,
     costs: RoutingCosts = RoutingCosts(),
 ) -> Result[RouteChoice, Problem]:
-    """Choose a back end: two random candidates of the own zone, one of another, one by affinity.
+    """Choose the cheapest of a few sampled back ends.
 
-    Drawing few candidates keeps nodes with the same lagging reports from all choosing the same back
-    end (Mitzenmacher, "The Power of Two Choices", 2001). Fails with ``NO_BACK_END``.
+    The samples are two random candidates of the request's zone, one of another zone, the one with
+    the longest cached prefix and the one for the affinity key. Sampling keeps nodes that have the
+    same stale reports from all choosing the same back end (Mitzenmacher, "The Power of Two
+    Choices", 2001).
+
+    Fails with ``NO_BACK_END``.
     """
     candidates = eligible(request, back_ends)
     if not candidates:
         return no_back_end(request, back_ends)
-    drawn = _draw(request, candidates, prefixes, rng)
-    scored = tuple(_score(request, back_end, prefixes, costs) for back_end in drawn)
+    sampled = _sample(request, candidates, prefixes, rng)
+    scored = tuple(_score(request, back_end, prefixes, costs) for back_end in sampled)
     best = min(scored, key=lambda candidate: candidate.cost_ms)
     return Success(RouteChoice(best.address, scored))
 
 
-def _draw(
+def _sample(
     request: RouteRequest,
     candidates: list[BackEnd],
     prefixes: PrefixIndex,
     rng: random.Random,
 ) -> list[BackEnd]:
     zone = request.only_zone or request.zone
-    near = [back_end for back_end in candidates if back_end.zone == zone]
-    far = [back_end for back_end in candidates if back_end.zone != zone]
-    drawn = rng.sample(near, min(_NUM_RANDOM_CHOICES, len(near)))
-    num_far = _NUM_RANDOM_CHOICES if not near else 1
-    drawn += rng.sample(far, min(num_far, len(far)))
+    local = [back_end for back_end in candidates if back_end.zone == zone]
+    remote = [back_end for back_end in candidates if back_end.zone != zone]
+    sampled = rng.sample(local, min(_NUM_RANDOM_CHOICES, len(local)))
+    num_remote = _NUM_RANDOM_CHOICES if not local else 1
+    sampled += rng.sample(remote, min(num_remote, len(remote)))
     if request.prefix_blocks:
-        drawn.append(
+        sampled.append(
             max(
                 candidates,
                 key=lambda back_end: prefixes.num_matching(back_end.address, request.prefix_blocks),
             )
         )
     if request.affinity_key:
-        drawn.append(max(candidates, key=lambda back_end: _rendezvous(request, back_end)))
-    return list({back_end.address: back_end for back_end in drawn}.values())
+        sampled.append(max(candidates, key=lambda back_end: _rendezvous_hash(request, back_end)))
+    return list({back_end.address: back_end for back_end in sampled}.values())
 
 
-def _rendezvous(request: RouteRequest, back_end: BackEnd) -> int:
+def _rendezvous_hash(request: RouteRequest, back_end: BackEnd) -> int:
     return text_hash(f"{request.affinity_key}\n{back_end.address}")
 
 
@@ -131,20 +135,20 @@
     num_slots = max(1, back_end.num_slots)
     is_live = request.priority is Priority.LIVE
     load = back_end.estimated_live if is_live else back_end.estimated_load
-    load_share = load / num_slots
+    load_fraction = load / num_slots
     num_queued = max(0.0, load + 1 - num_slots)
     queue_ms = back_end.mean_service_ms * num_queued / num_slots
-    queue_ms += costs.full_load_ms * min(1.0, load_share)
+    queue_ms += costs.full_load_ms * min(1.0, load_fraction)
     distance_ms = 0.0 if back_end.zone == request.zone else costs.other_zone_ms
     saved_ms = 0.0
-    if load_share <= costs.max_affinity_load:
+    if load_fraction <= costs.max_affinity_load:
         matching = prefixes.num_matching(back_end.address, request.prefix_blocks)
         saved_ms = costs.prefill_block_ms * matching
     return ScoredCandidate(back_end.address, queue_ms, distance_ms, saved_ms)
 
 
 def no_back_end(request: RouteRequest, back_ends: Sequence[BackEnd]) -> Failure[Problem]:
-    """Return the refusal for a request that no back end can take."""
+    """Return the failure for a request that no back end can serve."""
     num_in_pool = sum(1 for back_end in back_ends if back_end.pool == request.pool)
     detail = f"none of {num_in_pool} back ends of {request.pool!r} can take the request"
     return Failure(
--- a/src/hollowrack/routing/fleet.py
+++ b/src/hollowrack/routing/fleet.py
@@ -1,4 +1,4 @@
-"""This node's view of all back ends, kept from the machine list, reports and direct evidence."""
+"""This node's view of all back ends: machine list, load reports and outcomes of its requests."""
 
 from collections import deque
 from collections.abc import Callable
@@ -23,17 +23,17 @@
 _MS_PER_S = 1000.0
 
 
-def _recent() -> deque[int]:
+def _report_window() -> deque[int]:
     return deque(maxlen=NUM_REPORTS_COMPARED)
 
 
 @dataclass(frozen=True)
 class PoolLoad:
-    """A pool as the last reports describe it.
+    """Capacity and load of a pool.
 
     Attributes:
-        num_slots: Requests that its serving back ends run at once.
-        num_live: Live requests on them, as estimated from this node's counts and the reports.
+        num_slots: Slots of its serving back ends.
+        num_live: Live requests on them, estimated from this node's counts and the load reports.
     """
 
     num_slots: int
@@ -42,20 +42,20 @@
 
 @dataclass
 class BackEndRecord:
-    """What this node knows of one back end.
+    """State of one back end at this node.
 
     Attributes:
         machine: Its entry in the machine list.
-        is_leaving: Whether it is marked as leaving; the mark outlives a lagging list.
-        engine: The engine's last control state, for engines.
-        reported_load: Requests running and waiting by the last report.
+        is_leaving: Whether it is marked as leaving; a stale machine list does not reset it.
+        engine: Last control state of an engine; None if unknown, and for services.
+        reported_load: Running and waiting requests in the last report.
         num_live: Live requests in progress that this node placed.
         num_training: Training generations in progress that this node placed.
-        others_live: Live requests beyond those, in each of the last reports.
-        others_load: All requests beyond those, in each of the last reports.
-        circuit: Direct evidence.
-        seen: The record as routing sees it, until something changes. A placement looks at every
-            back end and changes one.
+        others_live: Live requests of other nodes, by each of the last reports.
+        others_load: All requests of other nodes, by each of the last reports.
+        circuit: Circuit breaker, driven by the outcomes of this node's requests.
+        seen: Cached routing snapshot of the record; None after a change. A placement reads all
+            back ends and changes one.
     """
 
     machine: Machine
@@ -64,28 +64,29 @@
     reported_load: int = 0
     num_live: int = 0
     num_training: int = 0
-    others_live: deque[int] = field(default_factory=_recent)
-    others_load: deque[int] = field(default_factory=_recent)
+    others_live: deque[int] = field(default_factory=_report_window)
+    others_load: deque[int] = field(default_factory=_report_window)
     circuit: Circuit = field(default_factory=Circuit)
     seen: BackEnd | None = None
 
     @property
     def estimated_load(self) -> int:
-        """All requests on it: what this node placed, and what others must have.
+        """Estimated number of all requests on it: this node's, plus those of other nodes.
 
-        A report is older than this node's own counts. While requests come and go, their difference
-        is noise; the least of several differences is what others really have.
+        A report is older than this node's own counts, so their difference overestimates the
+        requests of other nodes while requests start and end. The minimum over several reports
+        removes this error.
         """
         return self.num_live + self.num_training + min(self.others_load, default=0)
 
     @property
     def estimated_live(self) -> int:
-        """Live requests on it, estimated in the same way."""
+        """Estimated number of live requests on it."""
         return self.num_live + min(self.others_live, default=0)
 
     @property
     def status(self) -> BackEndStatus:
-        """Whether it may be given work, circuit aside."""
+        """Whether it accepts requests, regardless of the circuit breaker."""
         if self.is_leaving:
             return BackEndStatus.LEAVING
         if self.machine.kind == BackEndKind.ENGINE.value:
@@ -95,12 +96,12 @@
 
 
 class FleetView:
-    """All back ends as this node sees them.
+    """Registry of all back ends, as known to this node.
 
     Attributes:
-        records: What is known of each, by address.
-        prefixes: Which engine holds which prompt prefix.
-        is_marked: Whether an address was marked as leaving before this node heard of it.
+        records: State of each back end, by address.
+        prefixes: Index of the prompt prefixes that engines have cached.
+        is_marked: Returns whether an address is marked as leaving; asked when it is first listed.
     """
 
     def __init__(self) -> None:
@@ -111,7 +112,11 @@
         self._by_pool: dict[str, list[BackEndRecord]] = {}
 
     def apply_machine_list(self, machines: list[Machine]) -> None:
-        """Take in the machine list; a machine that is gone from it counts as leaving."""
+        """Apply the machine list.
+
+        A machine that is no longer listed is marked as leaving, and removed when this node has no
+        requests on it.
+        """
         listed = {machine.address for machine in machines}
         for machine in machines:
             record = self.records.get(machine.address)
@@ -135,21 +140,21 @@
             self._by_pool.setdefault(record.machine.pool, []).append(record)
 
     def mark_leaving(self, address: str) -> None:
-        """Mark a back end as leaving; no new work goes to it from now on."""
+        """Mark a back end as leaving, so that it gets no new requests."""
         record = self.records.get(address)
         if record is not None:
             record.is_leaving = True
             record.seen = None
 
     def apply_engine_state(self, address: str, state: EngineState | None) -> None:
-        """Take in an engine's control state; ``None`` if it did not answer."""
+        """Apply an engine's control state; ``None`` if it did not answer."""
         record = self.records.get(address)
         if record is not None and record.engine != state:
             record.engine = state
             record.seen = None
 
     def apply_load(self, address: str, load: EngineLoad) -> None:
-        """Take in a load report."""
+        """Apply an engine's load report."""
         record = self.records.get(address)
         if record is not None:
             record.reported_load = load.num_running + load.num_waiting
@@ -159,7 +164,7 @@
             record.seen = None
 
     def note_sent(self, address: str, is_training: bool, now_s: float) -> None:
-        """A request is about to be sent."""
+        """Count a request that is about to be sent."""
         record = self.records[address]
         record.circuit.note_sent(now_s)
         record.seen = None
@@ -169,13 +174,13 @@
             record.num_live += 1
 
     def note_service_time(self, pool: str, service_s: float) -> None:
-        """Take in the time a live request took in a pool."""
+        """Update the mean service time of live requests in a pool."""
         service_ms = service_s * _MS_PER_S
-        known_ms = self._mean_service_ms.get(pool, service_ms)
-        self._mean_service_ms[pool] = known_ms + SERVICE_SMOOTHING * (service_ms - known_ms)
+        mean_ms = self._mean_service_ms.get(pool, service_ms)
+        self._mean_service_ms[pool] = mean_ms + SERVICE_SMOOTHING * (service_ms - mean_ms)
 
     def note_finished(self, address: str, is_training: bool) -> None:
-        """A request ended, however it did."""
+        """Count the end of a request, whatever its outcome."""
         record = self.records.get(address)
         if record is None:
             return
@@ -186,7 +191,7 @@
             record.num_live -= 1
 
     def pool_load(self, pool: str, zone: str | None = None) -> PoolLoad:
-        """Return the slots of a pool's serving back ends, of one zone or all, and their load."""
+        """Return the capacity and load of a pool's serving back ends, in one zone or in all."""
         serving = [
             back_end
             for back_end in self.snapshot(0.0, pool)
@@ -196,7 +201,7 @@
         return PoolLoad(num_slots, sum(int(back_end.estimated_live) for back_end in serving))
 
     def note_evidence(self, address: str, outcome: PlacementOutcome, now_s: float) -> None:
-        """Take in direct evidence about a back end."""
+        """Update the circuit breaker of a back end by the outcome of a request."""
         record = self.records.get(address)
         if record is None:
             return
@@ -212,15 +217,15 @@
                 record.circuit.note_abandoned(now_s)
 
     def snapshot(self, now_s: float, pool: str | None = None) -> list[BackEnd]:
-        """Return the back ends of a pool, or all, as they are seen at ``now_s``."""
+        """Return the state at ``now_s`` of the back ends of a pool, or of all back ends."""
         records = self.records.values() if pool is None else self._by_pool.get(pool, [])
-        return [record.seen or self._see(record, now_s) for record in records]
+        return [record.seen or self._snapshot_record(record, now_s) for record in records]
 
-    def _see(self, record: BackEndRecord, now_s: float) -> BackEnd:
+    def _snapshot_record(self, record: BackEndRecord, now_s: float) -> BackEnd:
         mean_service_ms = self._mean_service_ms.get(record.machine.pool)
         back_end = _back_end(record, now_s, mean_service_ms)
         if back_end.is_circuit_closed:
-            # A circuit that is open closes by time alone, so it is looked at anew.
+            # Not cached while the circuit is open, because it changes by time alone.
             record.seen = back_end
         return back_end
 
--- a/src/hollowrack/routing/local_placer.py
+++ b/src/hollowrack/routing/local_placer.py
@@ -1,4 +1,4 @@
-"""Places requests by what this node knows."""
+"""Local placer: places requests by this node's own view of the fleet."""
 
 import itertools
 import random
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True)
 class PlacerParts:
-    """What placing needs of its node.
+    """Dependencies of placement.
 
     Attributes:
-        node: Name of the node, the first part of placement names.
-        fleet: The node's view of the back ends.
-        chooser: Chooses among them.
-        decisions: Where decisions are recorded.
-        rng: Random source of the choice.
+        node: Name of this node, the first part of placement identifiers.
+        fleet: This node's view of the back ends.
+        chooser: Selects a back end.
+        decisions: Log of routing decisions.
+        rng: Random source of the chooser.
     """
 
     node: str
@@ -36,11 +36,11 @@
 
 
 class LocalPlacer:
-    """Implements ``Placer`` without asking anybody.
+    """``Placer`` that decides without contacting other nodes.
 
     Args:
-        parts: What it needs of its node.
-        admission: Lets live requests in; ``None`` to place without admission.
+        parts: Dependencies of placement.
+        admission: Admission controller of live requests; ``None`` to place without admission.
     """
 
     _numbers = itertools.count(1)
@@ -51,7 +51,7 @@
         self._tickets: dict[str, Ticket] = {}
 
     async def place(self, request: PlacementRequest) -> Result[Placement, Problem]:
-        """Admit and choose; fails with the codes of both."""
+        """Admit a request and select a back end; fails with the codes of either step."""
         ticket: Ticket | None = None
         is_live = request.route.priority is Priority.LIVE
         if is_live and request.needs_admission and self._admission is not None:
@@ -97,13 +97,13 @@
         )
 
     def adopt(self, placement: Placement, ticket: Ticket | None = None) -> None:
-        """Count a placement, whoever made it."""
+        """Count a placement that was made here or reported by a node."""
         self._parts.fleet.note_sent(placement.address, placement.is_training, now_s())
         if ticket is not None:
             self._tickets[placement.placement_id] = ticket
 
     def finish(self, placement: Placement, outcome: PlacementOutcome, service_s: float) -> None:
-        """Give a place back and learn from how it ended."""
+        """Release a placement, and update the fleet view by its outcome."""
         fleet = self._parts.fleet
         ticket = self._tickets.pop(placement.placement_id, None)
         if ticket is not None:
--- a/src/hollowrack/routing/observer.py
+++ b/src/hollowrack/routing/observer.py
@@ -1,4 +1,4 @@
-"""Keeps a node's view of the back ends up to date: machine list, engine states, loads, caches."""
+"""Fleet observer: polls the machine list and the engines' states, loads and cache events."""
 
 import asyncio
 import itertools
@@ -18,13 +18,14 @@
 
 
 class FleetObserver:
-    """Polls the platform for one node.
+    """Polls the platform and updates the fleet view of one node.
 
     Args:
-        fleet: The view to keep up to date.
+        fleet: The view to update.
         read_machines: Reads the machine list.
         make_client: Returns the client of an engine by its address.
-        is_close: Whether this node decides about an engine, and so must know it well.
+        is_close: Returns whether this node makes decisions for an engine; such engines are polled
+            in every round.
     """
 
     def __init__(
@@ -54,30 +55,34 @@
     async def _run_machine_list(self) -> None:
         while True:
             listed = await self._read_machines()
-            # An unreachable list leaves the view as it is: it is a hint and no more.
+            # If the list cannot be read, the view stays as it is.
             if isinstance(listed, Success):
                 self._fleet.apply_machine_list(listed.unwrap())
             await asyncio.sleep(MACHINE_LIST_INTERVAL_S)
 
     async def _run_engines(self) -> None:
-        for number in itertools.count():
+        for round_number in itertools.count():
             addresses = [
                 address
                 for position, address in enumerate(list(self._fleet.records))
-                if self._is_due(address, number + position)
+                if self._is_due(address, round_number + position)
             ]
-            await asyncio.gather(*(self._observe(address) for address in addresses))
+            await asyncio.gather(*(self._poll_engine(address) for address in addresses))
             await asyncio.sleep(ENGINE_INTERVAL_S)
 
-    def _is_due(self, address: str, turn: int) -> bool:
-        """Whether an engine is polled in this round: close ones always, others in their turn."""
+    def _is_due(self, address: str, round_number: int) -> bool:
+        """Whether an engine is polled in this round.
+
+        New engines and those this node decides for are polled in every round, others in every
+        ``OTHERS_EVERY_ROUNDS``-th.
+        """
         record = self._fleet.records[address]
         if record.machine.kind != BackEndKind.ENGINE.value:
             return False
         is_new = record.engine is None
-        return is_new or turn % OTHERS_EVERY_ROUNDS == 0 or self._is_close(record.machine)
+        return is_new or round_number % OTHERS_EVERY_ROUNDS == 0 or self._is_close(record.machine)
 
-    async def _observe(self, address: str) -> None:
+    async def _poll_engine(self, address: str) -> None:
         client = self._make_client(address)
         state, load, events = await asyncio.gather(
             client.state(),
--- a/src/hollowrack/routing/placement.py
+++ b/src/hollowrack/routing/placement.py
@@ -1,4 +1,4 @@
-"""Placements: a request's place on one back end, from the decision until it ends."""
+"""Placements: the assignment of a request to a back end, from the decision until its end."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -12,7 +12,7 @@
 
 
 class PlacementOutcome(Enum):
-    """How a placement ended, as evidence about its back end."""
+    """How a placement ended; input of the back end's circuit breaker."""
 
     SUCCESS = "success"
     FAILURE = "failure"
@@ -22,15 +22,15 @@
 
 @dataclass(frozen=True)
 class PlacementRequest:
-    """What is to be placed.
+    """A request for a placement.
 
     Attributes:
-        request_id: Request the placement is for.
-        tenant: Whose request it is.
-        route: What kind of back end it needs.
-        timeout_s: Time left until it need not start, in seconds.
-        attempt: Number of the attempt; only the first is subject to admission.
-        may_queue: Whether it may wait for room.
+        request_id: Identifier of the request to place.
+        tenant: Tenant of the request.
+        route: Requirements on the back end.
+        timeout_s: Time until the deadline for its start, in seconds.
+        attempt: Number of the attempt, from 0; only the first is subject to admission.
+        may_queue: Whether it may wait for a slot.
     """
 
     request_id: str
@@ -42,22 +42,22 @@
 
     @property
     def needs_admission(self) -> bool:
-        """Whether room must be found for it; retries keep the room of the first attempt."""
+        """Whether it is subject to admission; only the first attempt is."""
         return self.attempt == 0
 
 
 @message("placement.placement")
 @dataclass(frozen=True)
 class Placement:
-    """A request's place.
+    """Assignment of a request to a back end.
 
     Attributes:
-        placement_id: Unique name, ``<node>/<number>``.
-        request_id: The request.
-        address: The back end.
-        pool: Its pool.
-        zone: Its zone.
-        is_training: Whether the request gives way to live ones.
+        placement_id: Unique identifier, ``<node>/<number>``.
+        request_id: Identifier of the request.
+        address: Address of the back end.
+        pool: Pool of the back end.
+        zone: Zone of the back end.
+        is_training: Whether the request has training priority, below that of live requests.
     """
 
     placement_id: str
@@ -69,10 +69,10 @@
 
 
 class Placer(Protocol):
-    """Finds places and learns how they ended."""
+    """Places requests on back ends and tracks the placements until their end."""
 
     async def place(self, request: PlacementRequest) -> Result[Placement, Problem]:
-        """Find a place; fails with a "not run" code."""
+        """Place a request; fails with a "not run" code."""
 
     def finish(self, placement: Placement, outcome: PlacementOutcome, service_s: float) -> None:
-        """Give a place back; must be called once for each."""
+        """Release a placement; must be called exactly once for each."""
--- a/src/hollowrack/routing/prefix.py
+++ b/src/hollowrack/routing/prefix.py
@@ -1,4 +1,7 @@
-"""Which engine holds which prompt prefix, from cache events that are late and have gaps."""
+"""Prefix index: the prompt prefixes that engines have cached, from cache events.
+
+Events arrive late and may be lost.
+"""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -14,7 +17,7 @@
 
 
 def prefix_blocks(text: str) -> tuple[int, ...]:
-    """Return the chained hashes of a prompt's whole leading blocks, shortest prefix first."""
+    """Return the chained hashes of a prompt's complete leading blocks, shortest prefix first."""
     num_blocks = min(len(text) // BLOCK_CHARACTERS, MAX_BLOCKS_PER_PROMPT)
     digest = xxhash.xxh64()
     hashes: list[int] = []
@@ -26,6 +29,15 @@
 
 @dataclass
 class _EngineIndex:
+    """Cached blocks of one engine.
+
+    Attributes:
+        incarnation: Incarnation of the engine that the events are from.
+        next_sequence: Sequence number of the next expected event.
+        is_uncertain: Whether events were lost.
+        blocks: Hashes of cached blocks, least recently stored first.
+    """
+
     incarnation: str = ""
     next_sequence: int = 0
     is_uncertain: bool = False
@@ -33,18 +45,22 @@
 
 
 class PrefixIndex:
-    """Known prefix blocks per engine; a hint and never a promise."""
+    """Best-effort index of the prefix blocks cached by each engine."""
 
     def __init__(self) -> None:
         self._engines: dict[str, _EngineIndex] = {}
 
     def next_sequence(self, address: str) -> int:
-        """The sequence number to ask an engine's events from."""
+        """Return the sequence number of the next event to request from an engine."""
         index = self._engines.get(address)
         return index.next_sequence if index is not None else 0
 
     def apply(self, address: str, events: CacheEvents) -> None:
-        """Take in a batch of events; a gap marks the engine's index as uncertain."""
+        """Apply a batch of events.
+
+        A new incarnation of the engine resets its index; a gap in the sequence numbers marks it as
+        uncertain.
+        """
         index = self._engines.setdefault(address, _EngineIndex())
         if index.incarnation != events.incarnation:
             index = _EngineIndex(incarnation=events.incarnation)
@@ -60,13 +76,16 @@
             index.blocks.pop(block, None)
 
     def note_sent(self, address: str, blocks: tuple[int, ...]) -> None:
-        """A prompt was sent to an engine, which will hold its blocks before any event says so."""
+        """Add the blocks of a prompt that was sent to an engine, ahead of its cache events."""
         index = self._engines.setdefault(address, _EngineIndex())
         for block in blocks:
             self._store(index, block)
 
     def num_matching(self, address: str, blocks: tuple[int, ...]) -> float:
-        """Return how many leading blocks the engine probably holds, weighed by certainty."""
+        """Return the number of leading blocks that an engine has cached.
+
+        The number is multiplied by ``UNCERTAIN_WEIGHT`` if events of the engine were lost.
+        """
         index = self._engines.get(address)
         if index is None:
             return 0.0
@@ -78,7 +97,7 @@
         return num_matching * (UNCERTAIN_WEIGHT if index.is_uncertain else 1.0)
 
     def forget(self, address: str) -> None:
-        """Drop what is known of an engine."""
+        """Remove an engine."""
         self._engines.pop(address, None)
 
     @staticmethod
--- a/src/hollowrack/routing/types.py
+++ b/src/hollowrack/routing/types.py
@@ -1,4 +1,4 @@
-"""Snapshot types that routing decides over, and what it decides."""
+"""Types of routing: its input snapshots and its decisions."""
 
 from dataclasses import dataclass, field, replace
 from enum import Enum
@@ -7,14 +7,14 @@
 
 
 class BackEndKind(Enum):
-    """What a back end is."""
+    """Kind of a back end."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class BackEndStatus(Enum):
-    """Whether a back end may be given work."""
+    """Whether a back end accepts requests."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -22,7 +22,7 @@
 
 
 class Priority(Enum):
-    """Who a request is for; the value is the engine priority, lower first."""
+    """Priority class of a request; the value is the engine priority, where lower runs first."""
 
     LIVE = 0
     TRAINING = 10
@@ -30,24 +30,24 @@
 
 @dataclass(frozen=True)
 class BackEnd:
-    """One back end as seen at one moment.
+    """Snapshot of one back end.
 
     Attributes:
         address: ``IP:PORT``.
         kind: Engine or service worker.
         pool: Model of an engine, or name of a service pool.
         zone: Zone it runs in.
-        status: Whether it may be given work.
-        num_slots: Requests it runs at once.
-        estimated_load: Requests running and waiting: the last report, corrected by what this node
-            sent and finished since.
-        reported_load: The last report itself, for comparison.
-        estimated_live: Live requests among them, estimated in the same way; training gives way to
-            live requests, so only these delay a live request.
-        mean_service_ms: Mean time of a live request in its pool.
-        num_training: Training generations of this node in progress on it.
-        weight_version: Version an engine reported last; 0 for services.
-        is_circuit_closed: Whether direct evidence speaks for it.
+        status: Whether it accepts requests.
+        num_slots: Maximum number of requests that it runs concurrently.
+        estimated_load: Running and waiting requests: those of this node, plus an estimate for other
+            nodes from the load reports.
+        reported_load: Running and waiting requests in the last load report.
+        estimated_live: Live requests among ``estimated_load``. Training yields to live requests, so
+            only these delay a live request.
+        mean_service_ms: Mean service time of a live request in its pool, in milliseconds.
+        num_training: Training generations in progress on it that this node placed.
+        weight_version: Weight version that an engine last reported; 0 for services.
+        is_circuit_closed: Whether its circuit breaker lets a request through.
     """
 
     address: str
@@ -67,19 +67,19 @@
 
 @dataclass(frozen=True)
 class RouteRequest:
-    """What is to be placed.
+    """Requirements of a request on its back end.
 
     Attributes:
-        kind: Kind of back end needed.
+        kind: Kind of the back end.
         pool: Model or service pool.
         zone: Zone of the deciding node.
-        priority: Live or training.
+        priority: Priority class.
         prefix_blocks: Hashes of the prompt's leading blocks, shortest prefix first.
-        affinity_key: Requests with the same key gain from the same engine; empty for none.
-        min_weight_version: Lowest useful weight version of the engine.
-        training_room: Share of an engine's slots that training may take.
-        excluded: Addresses that were tried already.
-        only_zone: Zone that the back end must be in; empty for any.
+        affinity_key: Key of requests that benefit from running on the same engine; empty for none.
+        min_weight_version: Minimum weight version of the engine.
+        training_room: Maximum fraction of an engine's slots that training may use.
+        excluded: Addresses not to use, such as those that were already tried.
+        only_zone: Required zone of the back end; empty for any.
     """
 
     kind: BackEndKind
@@ -94,13 +94,20 @@
     only_zone: str = ""
 
     def in_zone(self, zone: str) -> "RouteRequest":
-        """The same request for the back ends of one zone."""
+        """Return a copy that is restricted to the back ends of one zone."""
         return replace(self, only_zone=zone)
 
 
 @dataclass(frozen=True)
 class ScoredCandidate:
-    """One candidate with the parts of its cost, all in milliseconds."""
+    """A candidate and the components of its cost, in milliseconds.
+
+    Attributes:
+        address: Address of the back end.
+        queue_ms: Expected queueing delay and slowdown by load.
+        distance_ms: Added latency if the back end is in another zone.
+        prefix_saved_ms: Prefill time saved by the cached prefix.
+    """
 
     address: str
     queue_ms: float
@@ -109,17 +116,17 @@
 
     @property
     def cost_ms(self) -> float:
-        """Expected delay; the lowest wins."""
+        """Expected added latency, in milliseconds; the candidate with the lowest is chosen."""
         return self.queue_ms + self.distance_ms - self.prefix_saved_ms
 
 
 @dataclass(frozen=True)
 class RouteChoice:
-    """A decision and what it was taken from."""
+    """A routing decision and the candidates that were scored for it."""
 
     address: str
     candidates: tuple[ScoredCandidate, ...] = field(default=())
 
     def costs_ms(self) -> dict[str, float]:
-        """Return each candidate's cost, for decision records."""
+        """Return the cost of each candidate by address, in milliseconds, for the decision log."""
         return {candidate.address: candidate.cost_ms for candidate in self.candidates}
