--- a/src/hollowrack/admission/__init__.py
+++ b/src/hollowrack/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Which live requests are let in, in which order, and which are refused early."""
+"""Admission control of live requests: concurrency limits, fair queueing and load shedding."""
--- a/src/hollowrack/admission/controller.py
+++ b/src/hollowrack/admission/controller.py
@@ -1,4 +1,7 @@
-"""Lets live requests in up to their pool's capacity, queues a few and refuses the rest early."""
+"""Admission controller: admits live requests up to their pool's capacity.
+
+Requests beyond it are queued if the expected wait is short, and refused at once otherwise.
+"""
 
 import asyncio
 import math
@@ -17,17 +20,17 @@
 PUMP_INTERVAL_S = 0.02
 SERVICE_TIME_SMOOTHING = 0.1
 INITIAL_SERVICE_TIME_S = 0.5
-# A queue longer than this share of the mean service time would cost the callers in it more than a
-# refusal with a time to come back.
+# Maximum expected wait as a fraction of the mean service time. Beyond it, a refusal with a
+# retry-after time costs the caller less than queueing.
 MAX_QUEUE_SHARE = 0.5
 MIN_RETRY_AFTER_S = 0.2
 
-# Age of what load reports say by the time they are used: the engines' lag and the polling interval.
+# Maximum age of the data in load reports: the engines' reporting delay plus the poll interval.
 REPORT_AGE_S = 0.75
 
 
 class _Waiter:
-    """A request waiting for a slot; compared by identity."""
+    """A queued request; compared by identity."""
 
     def __init__(self, deadline_s: float) -> None:
         self.deadline_s = deadline_s
@@ -36,31 +39,40 @@
 
 @dataclass
 class _Pool:
+    """Admission state of one pool.
+
+    Attributes:
+        queue: Requests that wait for a slot.
+        num_running: Admitted requests that are not released yet.
+        mean_service_s: Moving average of the time from admission to release, in seconds.
+        history: Recent times, in seconds, with the value of ``num_running`` from then on.
+    """
+
     queue: FairQueue[_Waiter] = field(default_factory=FairQueue)
     num_running: int = 0
     mean_service_s: float = INITIAL_SERVICE_TIME_S
     history: deque[tuple[float, int]] = field(default_factory=lambda: deque([(-math.inf, 0)]))
 
     def change_running(self, change: int) -> None:
-        """Change the number of running requests and remember it for a while."""
+        """Change the number of running requests and record it in the history."""
         self.num_running += change
         self.history.append((now_s(), self.num_running))
-        self._forget()
+        self._trim_history()
 
     def num_added_lately(self) -> int:
-        """Requests that this node added since the last reports were made."""
-        self._forget()
+        """Return the net number of requests that this node added since the last load reports."""
+        self._trim_history()
         return max(0, self.num_running - self.history[0][1])
 
-    def _forget(self) -> None:
-        # The oldest entry kept is the state at the time of the last reports.
+    def _trim_history(self) -> None:
+        # The oldest entry kept is the state at the time of the last load reports.
         horizon_s = now_s() - REPORT_AGE_S
         while len(self.history) > 1 and self.history[1][0] <= horizon_s:
             self.history.popleft()
 
 
 class Ticket:
-    """Permission to run one request; must be released."""
+    """Permit to run one request; must be released."""
 
     def __init__(self, pool: _Pool, on_release: Callable[[_Pool], None]) -> None:
         self._pool = pool
@@ -69,7 +81,7 @@
         self._is_released = False
 
     def release(self) -> None:
-        """Give the slot back; further calls do nothing."""
+        """Release the slot; further calls have no effect."""
         if self._is_released:
             return
         self._is_released = True
@@ -82,12 +94,12 @@
 
 
 class AdmissionController:
-    """Admission of live requests at one node.
+    """Admission controller of live requests at one node.
 
     Args:
-        pool_load: Returns the slots of a pool and the live requests on them by the last reports.
-        num_nodes: Returns how many nodes share the pools.
-        max_requests: Most requests of this node at once, over all pools.
+        pool_load: Returns the slots of a pool and its live requests by the last load reports.
+        num_nodes: Returns the number of nodes that admit requests to the same pools.
+        max_requests: Maximum number of concurrent requests, over all pools.
     """
 
     def __init__(
@@ -104,11 +116,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start admitting queued requests as reports come in."""
+        """Start admitting queued requests as slots become free."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop; queued requests are refused as not run."""
+        """Stop; queued requests are refused with ``STOPPING``."""
         await cancel_all(self._task)
         for pool in self._pools.values():
             while len(pool.queue):
@@ -117,35 +129,36 @@
                     waiter.admitted.set_result(False)
 
     def set_weights(self, weights: Mapping[str, float]) -> None:
-        """Set the tenants' shares, for pools in use and those to come."""
+        """Set the tenants' weights for current and future pools."""
         self._weights = weights
         for pool in self._pools.values():
             pool.queue.weights = weights
 
     @property
     def num_running(self) -> int:
-        """Requests let in and not yet released."""
+        """Number of requests that are admitted and not yet released."""
         return sum(pool.num_running for pool in self._pools.values())
 
     async def admit(
         self, pool_name: str, tenant: str, deadline_s: float, may_queue: bool = True
     ) -> Result[Ticket, Problem]:
-        """Let a request in, now or from the queue.
+        """Admit a request, at once or after it has been queued.
 
         Args:
             pool_name: Model or service pool.
-            tenant: Whose request it is.
-            deadline_s: Time on the monotonic clock after which it need not run.
-            may_queue: Whether it may wait for room.
+            tenant: Tenant of the request.
+            deadline_s: Deadline of its start, in seconds on the monotonic clock.
+            may_queue: Whether it may wait for a slot.
 
-        Fails with ``OVERLOADED`` and a time to come back, or ``DEADLINE_EXPIRED``; neither ran.
+        Fails with ``OVERLOADED`` and a retry-after time, or with ``STOPPING``; the request did not
+        run.
         """
         pool = self._pools.get(pool_name)
         if pool is None:
             pool = _Pool(FairQueue(self._weights))
             self._pools[pool_name] = pool
-        if self._has_room(pool_name, pool) and not len(pool.queue):
-            return Success(self._ticket(pool))
+        if self._has_free_slot(pool_name, pool) and not len(pool.queue):
+            return Success(self._make_ticket(pool))
         expected_wait_s = self._expected_wait_s(pool_name, pool)
         max_wait_s = MAX_QUEUE_SHARE * pool.mean_service_s
         if not may_queue or expected_wait_s > min(max_wait_s, deadline_s - now_s()):
@@ -168,26 +181,26 @@
             raise
         if not is_admitted:
             return Failure(Problem(ResultCode.STOPPING, "the node is stopping", pool_name))
-        return Success(Ticket(pool, self._pump_released))
+        return Success(Ticket(pool, self._admit_queued_after_release))
 
-    def _ticket(self, pool: _Pool) -> Ticket:
+    def _make_ticket(self, pool: _Pool) -> Ticket:
         pool.change_running(1)
-        return Ticket(pool, self._pump_released)
+        return Ticket(pool, self._admit_queued_after_release)
 
-    def _has_room(self, pool_name: str, pool: _Pool) -> bool:
+    def _has_free_slot(self, pool_name: str, pool: _Pool) -> bool:
         if self.num_running >= self._max_requests:
             return False
         load = self._pool_load(pool_name)
         if not load.num_slots:
-            # Nothing is known of the pool; routing will say so with a better reason.
+            # No back end of the pool is known; routing refuses the request with a precise reason.
             return True
         return self._estimated_live(pool, load) < load.num_slots
 
     def _estimated_live(self, pool: _Pool, load: PoolLoad) -> int:
-        """Live requests in the pool now, by the last reports and what came since.
+        """Estimate the current number of live requests in a pool.
 
-        The other nodes see the same reports and are assumed to have added as many requests since as
-        this one. Without that, all nodes together fill the same room several times over.
+        The other nodes see the same load reports and are assumed to have added as many requests
+        since then as this one. Otherwise all nodes together would overcommit the same slots.
         """
         num_others = max(0, self._num_nodes() - 1)
         added_by_others = pool.num_added_lately() * num_others
@@ -203,15 +216,15 @@
         while True:
             await asyncio.sleep(PUMP_INTERVAL_S)
             for name, pool in self._pools.items():
-                self._pump(name, pool)
+                self._admit_queued(name, pool)
 
-    def _pump_released(self, released: _Pool) -> None:
+    def _admit_queued_after_release(self, released: _Pool) -> None:
         for name, pool in self._pools.items():
             if pool is released:
-                self._pump(name, pool)
+                self._admit_queued(name, pool)
 
-    def _pump(self, name: str, pool: _Pool) -> None:
-        while len(pool.queue) and self._has_room(name, pool):
+    def _admit_queued(self, name: str, pool: _Pool) -> None:
+        while len(pool.queue) and self._has_free_slot(name, pool):
             waiter = pool.queue.pop()
             if not waiter.admitted.done():
                 pool.change_running(1)
@@ -219,5 +232,5 @@
 
 
 def _overloaded(pool_name: str, retry_after_s: float) -> Problem:
-    detail = "the pool has no room for the request"
+    detail = "the pool has no capacity for the request"
     return Problem(ResultCode.OVERLOADED, detail, pool_name, retry_after_s=retry_after_s)
--- a/src/hollowrack/admission/fair_queue.py
+++ b/src/hollowrack/admission/fair_queue.py
@@ -1,4 +1,4 @@
-"""A queue in which tenants share by weight (start-time fair queueing, Goyal et al., 1996)."""
+"""Weighted fair queue over tenants (start-time fair queueing, Goyal et al., 1996)."""
 
 import heapq
 import itertools
@@ -19,10 +19,10 @@
 
 
 class FairQueue(Generic[Item]):
-    """Items leave in the order of their virtual start times.
+    """Queue that orders items by their virtual start times.
 
     Args:
-        weights: Share of each tenant; others weigh one.
+        weights: Weight by tenant; ``DEFAULT_WEIGHT`` for tenants that are not listed.
     """
 
     def __init__(self, weights: Mapping[str, float] | None = None) -> None:
@@ -36,14 +36,14 @@
         return len(self._heap)
 
     def push(self, tenant: str, item: Item) -> None:
-        """Queue an item of a tenant."""
+        """Add an item of a tenant."""
         start_tag = max(self._virtual_time, self._finish_tags.get(tenant, 0.0))
         weight = self.weights.get(tenant, DEFAULT_WEIGHT)
         self._finish_tags[tenant] = start_tag + 1.0 / weight
         heapq.heappush(self._heap, _Entry(start_tag, next(self._numbers), item))
 
     def pop(self) -> Item:
-        """Take the next item out.
+        """Remove and return the next item.
 
         Raises:
             IndexError: If the queue is empty.
@@ -51,13 +51,13 @@
         entry = heapq.heappop(self._heap)
         self._virtual_time = entry.start_tag
         if not self._heap:
-            # All tenants start even again; old tags would only hold memory.
+            # Tags only matter while items are queued; clearing them bounds the memory.
             self._finish_tags.clear()
             self._virtual_time = 0.0
         return entry.item
 
     def discard(self, item: Item) -> bool:
-        """Remove an item that gave up waiting; returns whether it was queued."""
+        """Remove an item and return whether it was queued."""
         for position, entry in enumerate(self._heap):
             if entry.item is item:
                 del self._heap[position]
--- a/src/hollowrack/requests/__init__.py
+++ b/src/hollowrack/requests/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a caller's request: typed states, dispatch, retries, answers and claims."""
+"""Execution of callers' requests: states, dispatch, retries, stored answers and claims."""
--- a/src/hollowrack/requests/answers.py
+++ b/src/hollowrack/requests/answers.py
@@ -1,4 +1,4 @@
-"""Finished answers kept for callers that lost their connection: bounded in number and bytes."""
+"""Answer store: bounded in-memory store of answers, for callers that lost their connection."""
 
 from collections import OrderedDict
 
@@ -8,11 +8,11 @@
 
 
 class AnswerStore:
-    """The latest answers by request identifier; the oldest go first.
+    """Stores the latest answers by request identifier and evicts the oldest first.
 
     Args:
-        max_answers: Most answers kept.
-        max_bytes: Most bytes of bodies kept.
+        max_answers: Maximum number of answers.
+        max_bytes: Maximum total size of the bodies, in bytes.
     """
 
     def __init__(self, max_answers: int, max_bytes: int = MAX_KEPT_BYTES) -> None:
@@ -22,15 +22,15 @@
         self._answers: OrderedDict[str, RecordedAnswer] = OrderedDict()
 
     def keep(self, request_id: str, answer: RecordedAnswer) -> None:
-        """Keep an answer; the first one for an identifier stays."""
+        """Store an answer, unless the identifier has one or the body exceeds ``max_bytes``."""
         if request_id in self._answers or len(answer.body) > self._max_bytes:
             return
         self._answers[request_id] = answer
         self._num_bytes += len(answer.body)
         while len(self._answers) > self._max_answers or self._num_bytes > self._max_bytes:
-            _, dropped = self._answers.popitem(last=False)
-            self._num_bytes -= len(dropped.body)
+            _, evicted = self._answers.popitem(last=False)
+            self._num_bytes -= len(evicted.body)
 
     def find(self, request_id: str) -> RecordedAnswer | None:
-        """Return the answer kept for an identifier."""
+        """Return the answer stored for an identifier."""
         return self._answers.get(request_id)
--- a/src/hollowrack/requests/budget.py
+++ b/src/hollowrack/requests/budget.py
@@ -1,4 +1,4 @@
-"""Retries as a share of traffic, so that they cannot multiply an overload."""
+"""Retry budget: limits retries to a fraction of the traffic, so that they do not cause overload."""
 
 RETRY_SHARE = 0.1
 MAX_SAVED_RETRIES = 20.0
@@ -6,11 +6,15 @@
 
 
 class RetryBudget:
-    """Each request earns a share of a retry; each retry spends one.
+    """Token bucket of retries, filled by first attempts.
 
     Args:
-        share: Retries earned by one request.
-        max_saved: Most retries that can be saved up.
+        share: Retries added to the budget by each first attempt.
+        max_saved: Maximum number of unspent retries.
+
+    Attributes:
+        num_requests: Number of first attempts.
+        num_retries: Number of retries that were allowed.
     """
 
     def __init__(self, share: float = RETRY_SHARE, max_saved: float = MAX_SAVED_RETRIES) -> None:
@@ -21,12 +25,12 @@
         self.num_retries = 0
 
     def note_request(self) -> None:
-        """A first attempt is made."""
+        """Record a first attempt."""
         self.num_requests += 1
         self._saved = min(self._max_saved, self._saved + self._share)
 
     def take_retry(self) -> bool:
-        """Whether a retry may be made; spends it."""
+        """Spend a retry if the budget allows one; return whether it did."""
         if self._saved < 1.0:
             return False
         self._saved -= 1.0
--- a/src/hollowrack/requests/claims.py
+++ b/src/hollowrack/requests/claims.py
@@ -1,9 +1,9 @@
-"""Claims of unsafe requests: a deterministic state machine driven by the replicated log.
+"""Claims of unsafe requests: a deterministic state machine over a replicated log.
 
-An identifier is claimed by one attempt before the first byte of the request goes out. A claim ends
-finished (with the answer), released (the attempt proved that nothing ran) or abandoned (nobody will
-ever know). Finished and abandoned claims are kept for the latest ``MAX_KEPT_CLAIMS`` identifiers of
-a group, counted in claims and not in time, so that no clock decides whether a repetition runs.
+An attempt claims the request's identifier before it sends the first byte. A claim ends finished
+(with the answer), released (the request provably did not run) or abandoned (the outcome is
+unknown). A group retains its latest ``MAX_KEPT_CLAIMS`` finished and abandoned claims. Retention is
+by count instead of time, so that it does not depend on clocks.
 """
 
 from dataclasses import dataclass, field
@@ -19,7 +19,7 @@
 
 
 class ClaimStatus(IntEnum):
-    """Life of a claim."""
+    """Status of a claim."""
 
     HELD = 0
     FINISHED = 1
@@ -29,12 +29,12 @@
 @message("claims.claim")
 @dataclass(frozen=True)
 class Claim:
-    """Claim an identifier for one attempt.
+    """Command: claim an identifier for an attempt.
 
     Attributes:
-        request_id: The caller's identifier.
-        body_digest: Hash of the request, to recognise an identifier used for another one.
-        attempt: Unique name of the attempt, ``<replica>/<number>``.
+        request_id: Identifier chosen by the caller.
+        body_digest: Hash of the request; detects reuse of an identifier for another request.
+        attempt: Unique identifier of the attempt, ``<replica>/<number>``.
     """
 
     request_id: str
@@ -45,7 +45,7 @@
 @message("claims.finish")
 @dataclass(frozen=True)
 class Finish:
-    """The attempt has the whole answer."""
+    """Command: end the claim of an attempt that received the complete answer."""
 
     request_id: str
     attempt: str
@@ -55,7 +55,7 @@
 @message("claims.release")
 @dataclass(frozen=True)
 class Release:
-    """The attempt proved that nothing ran; the identifier is free again."""
+    """Command: free the identifier, because the attempt provably did not run."""
 
     request_id: str
     attempt: str
@@ -64,7 +64,7 @@
 @message("claims.abandon")
 @dataclass(frozen=True)
 class Abandon:
-    """Nobody will ever know what became of the attempt."""
+    """Command: end the claim of an attempt whose outcome is unknown."""
 
     request_id: str
     attempt: str
@@ -76,13 +76,13 @@
 @message("claims.state_of")
 @dataclass(frozen=True)
 class ClaimState:
-    """One claim, and the outcome of every command about it.
+    """State of a claim; also the outcome of every command.
 
     Attributes:
-        status: Where it stands; ``None`` if the identifier is free.
-        attempt: The attempt that holds or held it.
+        status: Status; ``None`` if the identifier is free.
+        attempt: Identifier of the attempt that made the claim.
         body_digest: Hash of the request.
-        answer: The answer, while it is kept.
+        answer: The answer; ``None`` if there is none or it was evicted.
     """
 
     status: ClaimStatus | None = None
@@ -94,13 +94,13 @@
 @message("claims.snapshot")
 @dataclass
 class ClaimsSnapshot:
-    """The whole state; also the format of its snapshot.
+    """Complete state of the state machine, and the format of its snapshots.
 
     Attributes:
-        claims: Claims by identifier.
-        ended_order: Identifiers of ended claims, oldest first.
-        num_answer_bytes: Bytes of the kept answers.
-        answer_order: Identifiers whose answers are kept, oldest first.
+        claims: Claims by request identifier.
+        ended_order: Request identifiers of ended claims, oldest first.
+        num_answer_bytes: Total size of the stored answers' bodies, in bytes.
+        answer_order: Request identifiers of the stored answers, oldest first.
     """
 
     claims: dict[str, ClaimState] = field(default_factory=dict)
@@ -113,11 +113,11 @@
 
 
 class RequestClaims:
-    """The claims' state machine; implements ``replication.types.StateMachine``.
+    """State machine of the claims of one group; implements ``replication.types.StateMachine``.
 
     Args:
-        max_kept_claims: Ended claims kept.
-        max_answer_bytes: Bytes of answers kept.
+        max_kept_claims: Maximum number of ended claims.
+        max_answer_bytes: Maximum total size of the stored answers' bodies, in bytes.
     """
 
     def __init__(
@@ -130,7 +130,7 @@
         self._state = ClaimsSnapshot()
 
     def apply(self, command: bytes) -> bytes:
-        """Apply one encoded command and return the encoded :class:`ClaimState` after it."""
+        """Apply an encoded command and return the resulting encoded :class:`ClaimState`."""
         decoded: ClaimCommand = value_or_raise(codec.decode(command))
         return codec.encode(self.execute(decoded))
 
@@ -139,15 +139,18 @@
         return codec.encode(self._state)
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the state."""
+        """Replace the state by an encoded snapshot; an empty one clears it."""
         self._state = value_or_raise(codec.decode(snapshot)) if snapshot else ClaimsSnapshot()
 
     def find(self, request_id: str) -> ClaimState:
-        """Return the claim of an identifier; a free one if there is none."""
+        """Return the claim of an identifier; its status is ``None`` if there is none."""
         return self._state.claims.get(request_id, _FREE)
 
     def execute(self, command: ClaimCommand) -> ClaimState:
-        """Apply one command; the caller compares the attempt in the outcome with its own."""
+        """Apply a command and return the resulting claim.
+
+        A :class:`Claim` succeeded if the returned claim names the caller's attempt.
+        """
         known = self.find(command.request_id)
         if isinstance(command, Claim):
             if known.status is None:
@@ -157,7 +160,7 @@
         if known.attempt != command.attempt:
             return known
         if known.status is ClaimStatus.ABANDONED and isinstance(command, Finish):
-            return self._keep_late_answer(command.request_id, known, command.answer)
+            return self._finish_abandoned(command.request_id, known, command.answer)
         if known.status is not ClaimStatus.HELD:
             return known
         match command:
@@ -178,13 +181,13 @@
     ) -> ClaimState:
         self._state.ended_order.append(request_id)
         ended = self._replace(request_id, known, status, answer)
-        self._drop_old_claims()
+        self._evict_claims()
         return ended
 
-    def _keep_late_answer(
+    def _finish_abandoned(
         self, request_id: str, known: ClaimState, answer: RecordedAnswer
     ) -> ClaimState:
-        """An attempt that was given up on turned out to have its answer after all."""
+        """Finish a claim that was abandoned before its attempt received the answer."""
         return self._replace(request_id, known, ClaimStatus.FINISHED, answer)
 
     def _replace(
@@ -199,10 +202,10 @@
         if answer is not None:
             self._state.answer_order.append(request_id)
             self._state.num_answer_bytes += len(answer.body)
-        self._drop_old_answers()
+        self._evict_answers()
         return ended
 
-    def _drop_old_answers(self) -> None:
+    def _evict_answers(self) -> None:
         state = self._state
         while state.num_answer_bytes > self._max_answer_bytes and len(state.answer_order) > 1:
             request_id = state.answer_order.pop(0)
@@ -211,7 +214,7 @@
                 state.num_answer_bytes -= len(claim.answer.body)
             state.claims[request_id] = ClaimState(claim.status, claim.attempt, claim.body_digest)
 
-    def _drop_old_claims(self) -> None:
+    def _evict_claims(self) -> None:
         state = self._state
         while len(state.ended_order) > self._max_kept_claims:
             request_id = state.ended_order.pop(0)
--- a/src/hollowrack/requests/forwarding.py
+++ b/src/hollowrack/requests/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards one request to a service worker: placement, retries, what is known of the outcome."""
+"""Service forwarder: sends requests to service workers, with placement and retries."""
 
 from returns.result import Failure, Result, Success
 
@@ -29,10 +29,10 @@
 
 
 class ServiceForwarder:
-    """Forwards requests for one node.
+    """Forwards the requests of one node to service workers.
 
     Args:
-        placer: Finds workers.
+        placer: Places requests on workers.
         client: Sends requests to workers.
         budget: Retry budget.
     """
@@ -48,9 +48,9 @@
         self._budget = budget
 
     async def forward(self, request: ServiceRequest) -> Result[RecordedAnswer, Problem]:
-        """Forward a request and return the worker's whole answer.
+        """Forward a request and return the worker's complete answer.
 
-        An unsafe request is sent again only on proof that it did not run.
+        An unsafe request is retried only if it provably did not run.
         """
         state = Received(request.request_id).admit()
         self._budget.note_request()
@@ -88,22 +88,22 @@
         deadline_s: float,
     ) -> Admitted | Result[RecordedAnswer, Problem]:
         started_s = now_s()
-        evidence = PlacementOutcome.ABANDONED
+        placement_outcome = PlacementOutcome.ABANDONED
         try:
             timeout_s = max(MIN_TIMEOUT_S, deadline_s - started_s)
             answer = await self._client.send(request, state.address, timeout_s)
-            evidence = PlacementOutcome.SUCCESS
+            placement_outcome = PlacementOutcome.SUCCESS
             return Success(answer)
         except ServiceUnreachableError:
-            evidence = PlacementOutcome.UNREACHABLE
+            placement_outcome = PlacementOutcome.UNREACHABLE
             return state.did_not_run(NoBytesSentProof.NO_CONNECTION)
         except ServiceRefusedError:
             return state.did_not_run(NoBytesSentProof.EXPLICIT_REFUSAL)
         except ServiceBrokenError as error:
-            evidence = PlacementOutcome.FAILURE
+            placement_outcome = PlacementOutcome.FAILURE
             return Failure(state.unresolved(UnresolvedCode.OUTCOME_UNKNOWN, str(error)).problem)
         finally:
-            self._placer.finish(placement, evidence, now_s() - started_s)
+            self._placer.finish(placement, placement_outcome, now_s() - started_s)
 
 
 def _placement_request(request: ServiceRequest, tried: set[str], attempt: int) -> PlacementRequest:
--- a/src/hollowrack/requests/gateway.py
+++ b/src/hollowrack/requests/gateway.py
@@ -1,4 +1,7 @@
-"""Caller requests on one node: admission, placement, at-most-once execution and kept answers."""
+"""Gateway: entry point of callers' requests at one node.
+
+Runs generations and service requests, at most once if they are unsafe, and stores their answers.
+"""
 
 import asyncio
 import json
@@ -31,18 +34,18 @@
 
 @dataclass(frozen=True)
 class CompletionCall:
-    """A caller's generation.
+    """A caller's completion request.
 
     Attributes:
-        request_id: Identifier; also the key of the claim if the call is unsafe.
-        tenant: Whose request it is.
+        request_id: Identifier; also the key of the claim if the request is unsafe.
+        tenant: Tenant of the caller.
         model: Model name.
         prompt: Text to continue.
-        max_tokens: Longest answer, in tokens.
+        max_tokens: Maximum length of the answer, in tokens.
         seed: Sampling seed.
-        timeout_s: How long the caller is prepared to wait, in seconds.
-        is_unsafe: Whether it may run at most once.
-        is_chat: Whether the answer takes the chat form.
+        timeout_s: Timeout of the caller, in seconds; no attempt starts after it.
+        is_unsafe: Whether it must run at most once.
+        is_chat: Whether to answer in the format of chat completions.
     """
 
     request_id: str
@@ -72,7 +75,15 @@
 
 @dataclass(frozen=True)
 class GatewayParts:
-    """What a gateway is made of."""
+    """Components that a gateway uses.
+
+    Attributes:
+        zone: Zone of this node.
+        generations: Runs generations.
+        services: Forwards requests to service workers.
+        unsafe: Runs unsafe requests at most once.
+        answers: Stores answers across the fleet.
+    """
 
     zone: str
     generations: GenerationRunner
@@ -82,11 +93,16 @@
 
 
 class Gateway:
-    """Runs caller requests.
+    """Runs callers' requests and limits their number.
 
     Args:
-        parts: The parts of the node it uses.
-        max_requests: Most requests in progress at once.
+        parts: Components that it uses.
+        max_requests: Maximum number of requests in progress.
+
+    Attributes:
+        bundle: The bundle in force; ``None`` until one has been loaded.
+        is_stopping: Whether new requests are refused because the node is stopping.
+        num_in_progress: Number of requests in progress.
     """
 
     def __init__(self, parts: GatewayParts, max_requests: int) -> None:
@@ -101,11 +117,12 @@
     async def complete(
         self, call: CompletionCall, on_chunks: ChunkSink | None = None
     ) -> Result[RecordedAnswer, Problem]:
-        """Run a generation and return the whole answer in the caller's form.
+        """Run a generation and return the complete answer in OpenAI's format.
 
-        With ``on_chunks`` tokens are passed on as they come; the answer is returned all the same.
+        If ``on_chunks`` is given, it is called with tokens as they arrive; the complete answer is
+        returned in either case.
         """
-        problem = self._check_model(call.model)
+        problem = self._model_problem(call.model)
         if problem is not None:
             return Failure(problem)
 
@@ -117,10 +134,10 @@
         return await self._run(call.request_id, call.is_unsafe, identity.encode(), run)
 
     async def call_service(self, call: ServiceCall) -> Result[RecordedAnswer, Problem]:
-        """Forward a request to a service pool and return the whole answer."""
+        """Forward a request to a service pool and return the complete answer."""
         bundle = self.bundle
         if bundle is None or call.pool not in bundle.pools:
-            return Failure(self._unknown(ResultCode.UNKNOWN_POOL, call.pool))
+            return Failure(self._not_in_bundle(ResultCode.UNKNOWN_POOL, call.pool))
         timeout_s = bundle.pools[call.pool].timeout_s
 
         async def run() -> Result[RecordedAnswer, Problem]:
@@ -130,13 +147,13 @@
         return await self._run(call.request_id, call.is_unsafe, identity, run)
 
     async def read(self, request_id: str) -> Result[RecordedAnswer, Problem]:
-        """Return the answer of an earlier request, from any node that keeps it.
+        """Return the answer of an earlier request, from any node that stores it.
 
         Fails with ``UNKNOWN_REQUEST``, or ``OUTCOME_UNKNOWN`` for an unsafe request without answer.
         """
-        kept = await self._parts.answers.find(request_id)
-        if kept is not None:
-            return Success(kept)
+        stored = await self._parts.answers.find(request_id)
+        if stored is not None:
+            return Success(stored)
         claim = (await self._parts.unsafe.read(request_id)).value_or(None)
         if claim is not None and claim.answer is not None:
             return Success(claim.answer)
@@ -151,7 +168,7 @@
         return Failure(Problem(ResultCode.UNKNOWN_REQUEST, "no answer is kept", request_id))
 
     async def wait_idle(self, timeout_s: float) -> bool:
-        """Wait until no request is in progress; returns whether that came about in time."""
+        """Wait until no request is in progress; return whether that happened within the timeout."""
         try:
             async with asyncio.timeout(timeout_s):
                 await self._idle.wait()
@@ -159,8 +176,6 @@
             return False
         return True
 
-    # -- inside -----------------------------------------------------------------------------
-
     async def _run(
         self, request_id: str, is_unsafe: bool, identity: bytes, run: RunRequest
     ) -> Result[RecordedAnswer, Problem]:
@@ -236,12 +251,12 @@
             )
         )
 
-    def _check_model(self, model: str) -> Problem | None:
+    def _model_problem(self, model: str) -> Problem | None:
         if self.bundle is None or model not in self.bundle.models:
-            return self._unknown(ResultCode.UNKNOWN_MODEL, model)
+            return self._not_in_bundle(ResultCode.UNKNOWN_MODEL, model)
         return None
 
-    def _unknown(self, code: ResultCode, name: str) -> Problem:
+    def _not_in_bundle(self, code: ResultCode, name: str) -> Problem:
         if self.bundle is None:
             detail = "no bundle is in force on this node yet"
             return Problem(ResultCode.NO_BACK_END, detail, name, NO_BUNDLE_RETRY_AFTER_S)
@@ -260,7 +275,7 @@
 
 
 def completion_answer(call: CompletionCall, generated: GeneratedText) -> RecordedAnswer:
-    """Return a generation in the OpenAI form, with the weight versions that produced it."""
+    """Return a generation in OpenAI's format, with the weight versions that produced it."""
     choice: dict[str, object] = {"index": 0, "finish_reason": generated.finish_reason}
     if call.is_chat:
         choice["message"] = {"role": "assistant", "content": generated.text}
--- a/src/hollowrack/requests/generation.py
+++ b/src/hollowrack/requests/generation.py
@@ -1,7 +1,7 @@
-"""Runs one generation on the engines: placement, streaming, resumption and cancelling.
+"""Generation runner: runs generations on engines, with placement, streaming and resumption.
 
-A generation is safe to repeat, so a broken stream is resumed on another engine from the tokens so
-far. Each token keeps the weight version of the engine that produced it.
+A generation is safe to repeat, so a broken stream is resumed on another engine from the tokens
+received so far. Each token is recorded with the weight version of the engine that produced it.
 """
 
 from collections.abc import Awaitable, Callable
@@ -43,15 +43,15 @@
 
 @dataclass(frozen=True)
 class GenerationPlan:
-    """What to generate and within which limits.
+    """A generation to run, and its limits.
 
     Attributes:
-        generation: What the engine is asked for.
-        route: How to place it.
-        deadline_s: Time on the monotonic clock after which it is not worth starting.
-        tenant: Whose request it is.
-        on_chunks: Called with new tokens as they arrive.
-        stop_check: Called after new tokens; a problem ends the generation early.
+        generation: Request to the engine.
+        route: Requirements on the engine.
+        deadline_s: Deadline for the start of an attempt, in seconds on the monotonic clock.
+        tenant: Tenant of the request.
+        on_chunks: Called with new chunks as they arrive; ``None`` if not streamed.
+        stop_check: Called after new chunks; a returned problem ends the generation.
     """
 
     generation: GenerationRequest
@@ -64,7 +64,14 @@
 
 @dataclass
 class _Progress:
-    """Tokens received so far, over all engines."""
+    """Output received so far, from all engines.
+
+    Attributes:
+        spans: Tokens by weight version.
+        texts: Text of each chunk.
+        finish_reason: As in the last chunk; ``None`` if the generation is not finished.
+        num_engines: Number of engines that accepted the generation.
+    """
 
     spans: SpanBuilder = field(default_factory=SpanBuilder)
     texts: list[str] = field(default_factory=list)
@@ -79,7 +86,7 @@
         """
         if chunk.token_index != self.spans.num_tokens:
             raise StreamBrokenError(
-                f"token {chunk.token_index} came where {self.spans.num_tokens} was expected"
+                f"received token {chunk.token_index}, expected token {self.spans.num_tokens}"
             )
         if chunk.num_tokens:
             self.spans.add(chunk.weight_version, chunk.num_tokens)
@@ -98,19 +105,21 @@
 
 
 class _StoppedEarlyError(Exception):
+    """Raised when the stop check returns a problem."""
+
     def __init__(self, problem: Problem) -> None:
         super().__init__(str(problem))
         self.problem = problem
 
 
 class GenerationRunner:
-    """Runs generations for one node.
+    """Runs the generations of one node.
 
     Args:
-        placer: Finds engines.
+        placer: Places generations on engines.
         make_client: Returns the client of an engine by its address.
         budget: Retry budget.
-        decisions: Where decisions are recorded.
+        decisions: Log of resumptions.
     """
 
     def __init__(
@@ -126,10 +135,10 @@
         self._decisions = decisions
 
     async def run(self, plan: GenerationPlan) -> Result[GeneratedText, Problem]:
-        """Run a generation to its end marker.
+        """Run a generation to its end.
 
-        Fails with a "not run" code if no engine was given the request, with ``OUTCOME_UNKNOWN`` or
-        ``ANSWER_INCOMPLETE`` if one was, or with the stop check's problem.
+        Fails with a "not run" code if no engine ran the request, with ``OUTCOME_UNKNOWN`` or
+        ``ANSWER_INCOMPLETE`` if one may have, or with the stop check's problem.
         """
         request_id = plan.generation.request_id
         state = Received(request_id).admit()
@@ -169,18 +178,18 @@
         self, plan: GenerationPlan, progress: _Progress, placement: Placement, state: Dispatched
     ) -> Admitted | Result[GeneratedText, Problem]:
         started_s = now_s()
-        evidence = PlacementOutcome.ABANDONED
+        placement_outcome = PlacementOutcome.ABANDONED
         try:
             await self._stream(plan, progress, state.address)
-            evidence = PlacementOutcome.SUCCESS
+            placement_outcome = PlacementOutcome.SUCCESS
             return Success(progress.whole())
         except EngineUnreachableError:
-            evidence = PlacementOutcome.UNREACHABLE
+            placement_outcome = PlacementOutcome.UNREACHABLE
             return state.did_not_run(NoBytesSentProof.NO_CONNECTION)
         except EngineRefusedError:
             return state.did_not_run(NoBytesSentProof.EXPLICIT_REFUSAL)
         except StreamBrokenError as error:
-            evidence = PlacementOutcome.FAILURE
+            placement_outcome = PlacementOutcome.FAILURE
             has_tokens = progress.spans.num_tokens > 0
             code = UnresolvedCode.OUTCOME_UNKNOWN
             if has_tokens:
@@ -189,7 +198,7 @@
         except _StoppedEarlyError as stopped:
             return Failure(stopped.problem)
         finally:
-            self._placer.finish(placement, evidence, now_s() - started_s)
+            self._placer.finish(placement, placement_outcome, now_s() - started_s)
 
     async def _stream(self, plan: GenerationPlan, progress: _Progress, address: str) -> None:
         generation = replace(
@@ -204,7 +213,7 @@
             async for chunks in batches:
                 for chunk in chunks:
                     if incarnation not in (None, chunk.incarnation):
-                        raise StreamBrokenError("the engine's incarnation changed in a stream")
+                        raise StreamBrokenError("the engine's incarnation changed within a stream")
                     incarnation = chunk.incarnation
                     progress.take(chunk)
                 if plan.on_chunks is not None:
--- a/src/hollowrack/requests/home_answers.py
+++ b/src/hollowrack/requests/home_answers.py
@@ -1,4 +1,7 @@
-"""Finished answers on the two nodes that an identifier hashes to, so that any node finds them."""
+"""Replicated answers: stored at the nodes that their identifier hashes to.
+
+Any node can find an answer by its identifier.
+"""
 
 import asyncio
 from dataclasses import dataclass
@@ -11,7 +14,7 @@
 from hollowrack.results import Problem, ProblemError, ResultCode
 
 NUM_HOMES = 2
-# A node that joined lately changes an identifier's homes; a read asks a few more than a write.
+# Reads ask more nodes than writes do, because a node that joins changes the replicas.
 NUM_HOMES_ASKED = 4
 ASK_TIMEOUT_S = 1.0
 
@@ -19,7 +22,7 @@
 @message("answers.keep")
 @dataclass(frozen=True)
 class KeepAnswer:
-    """Asks a node to keep an answer."""
+    """Message to a node to store an answer."""
 
     request_id: str
     answer: RecordedAnswer
@@ -28,18 +31,18 @@
 @message("answers.find")
 @dataclass(frozen=True)
 class FindAnswer:
-    """Asks a node for an answer it may keep."""
+    """Request to a node for an answer."""
 
     request_id: str
 
 
 class HomeAnswers:
-    """Keeps and finds answers over the fleet.
+    """Stores and finds answers across the fleet.
 
     Args:
-        node: This node.
-        links: How to reach other nodes.
-        store: Answers kept here.
+        node: Name of this node.
+        links: Sends messages to other nodes.
+        store: Answers stored at this node.
     """
 
     def __init__(self, node: str, links: NodeLinks, store: AnswerStore) -> None:
@@ -48,21 +51,21 @@
         self._store = store
 
     def keep(self, request_id: str, answer: RecordedAnswer) -> None:
-        """Keep an answer here and on its home nodes."""
+        """Store an answer at this node and at its replicas."""
         self._store.keep(request_id, answer)
         for node in self._links.candidates(request_id)[:NUM_HOMES]:
             if node != self._node:
                 self._links.post(node, KeepAnswer(request_id, answer))
 
     async def find(self, request_id: str) -> RecordedAnswer | None:
-        """Return the answer if it is kept here or on a home node."""
-        own = self._store.find(request_id)
-        if own is not None:
-            return own
-        homes = self._links.candidates(request_id)[:NUM_HOMES_ASKED]
+        """Return the answer if it is stored at this node or at a replica."""
+        local = self._store.find(request_id)
+        if local is not None:
+            return local
+        replicas = self._links.candidates(request_id)[:NUM_HOMES_ASKED]
         requests = [
             self._links.request(node, FindAnswer(request_id), ASK_TIMEOUT_S)
-            for node in homes
+            for node in replicas
             if node != self._node
         ]
         for answer in await asyncio.gather(*requests):
@@ -72,14 +75,14 @@
         return None
 
     def answer_keep(self, request: KeepAnswer) -> None:
-        """Keep an answer for another node."""
+        """Store an answer received from another node."""
         self._store.keep(request.request_id, request.answer)
 
     def answer_find(self, request: FindAnswer) -> RecordedAnswer:
-        """Answer another node.
+        """Return an answer to another node.
 
         Raises:
-            ProblemError: ``UNKNOWN_REQUEST`` if the answer is not kept here.
+            ProblemError: ``UNKNOWN_REQUEST`` if the answer is not stored at this node.
         """
         found = self._store.find(request.request_id)
         if found is None:
--- a/src/hollowrack/requests/types.py
+++ b/src/hollowrack/requests/types.py
@@ -1,4 +1,4 @@
-"""Answers as they are given to callers, kept and read again."""
+"""Types of answers."""
 
 from dataclasses import dataclass
 
@@ -9,12 +9,12 @@
 @message("requests.answer")
 @dataclass(frozen=True)
 class RecordedAnswer:
-    """A whole answer.
+    """A complete answer, as sent to a caller and stored.
 
     Attributes:
-        http_status: Status it was given with.
-        content_type: Type of the body.
-        body: The body.
+        http_status: HTTP status code.
+        content_type: Media type of the body.
+        body: The body, in bytes as sent.
     """
 
     http_status: int
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True)
 class GeneratedText:
-    """A whole generation.
+    """A complete generation.
 
     Attributes:
-        text: The text.
-        num_tokens: Its length in tokens.
-        spans: Which weight version produced which tokens.
-        finish_reason: As the engine reported it.
-        num_engines: Engines that had a part in it.
+        text: The generated text.
+        num_tokens: Length of the text, in tokens.
+        spans: Ranges of tokens with the weight version that produced them.
+        finish_reason: Finish reason reported by the engine.
+        num_engines: Number of engines that generated parts of it.
     """
 
     text: str
--- a/src/hollowrack/requests/unsafe.py
+++ b/src/hollowrack/requests/unsafe.py
@@ -1,9 +1,9 @@
-"""Runs requests that are unsafe to repeat at most once, by way of claims.
+"""At-most-once execution of requests that are unsafe to repeat, based on replicated claims.
 
-The claim is committed in the replicated log before the first byte goes out. An attempt that dies
-with its claim is found out by asking the node that made it: if that node lives on under the same
-incarnation it still works on the request or has proof; if not, nobody knows and the claim is
-abandoned, which answers every repetition at once.
+The claim is committed to the replicated log before the first byte is sent. When a repetition meets
+a held claim, it asks the node that made the attempt for its status. A node that still runs under
+the same incarnation knows whether the attempt is running or did not run. Otherwise the outcome is
+unknown, and the claim is abandoned, which ends all repetitions without a wait.
 """
 
 import asyncio
@@ -51,12 +51,12 @@
 
 
 def claim_group(request_id: str) -> str:
-    """Return the group that keeps the claim of an identifier."""
+    """Return the replication group that holds the claim of an identifier."""
     return f"{CLAIM_GROUP_PREFIX}{text_hash(request_id) % NUM_CLAIM_GROUPS}"
 
 
 class AttemptStatus(Enum):
-    """What a node says about an attempt of its own."""
+    """Status of an attempt at the node that made it."""
 
     RUNNING = "running"
     NOT_RUN = "not_run"
@@ -66,7 +66,7 @@
 @message("claims.ask_attempt")
 @dataclass(frozen=True)
 class AskAttempt:
-    """Asks the node that made an attempt what became of it."""
+    """Request for the status of an attempt, to the node that made it."""
 
     attempt: str
 
@@ -74,28 +74,28 @@
 @message("claims.attempt")
 @dataclass(frozen=True)
 class AttemptAnswer:
-    """Answer to :class:`AskAttempt`."""
+    """Reply to :class:`AskAttempt`."""
 
     status: AttemptStatus
 
 
 class ClaimLog(Protocol):
-    """Where claims are committed; the group client, or a stand-in in tests."""
+    """Replicated log of claims; implemented by the group client."""
 
     async def ensure(self, group: str) -> Result[Any, Problem]:
-        """Make sure the group exists."""
+        """Create the group unless it exists."""
 
     async def propose(self, group: str, command: bytes, timeout_s: float) -> Result[bytes, Problem]:
-        """Commit a command."""
+        """Commit a command and return its outcome."""
 
 
 class UnsafeRequests:
-    """At-most-once execution for one node.
+    """Runs the unsafe requests of one node at most once.
 
     Args:
-        log: Where claims are committed.
-        links: How to reach other nodes.
-        own_replica: This node's identity and incarnation.
+        log: Replicated log of claims.
+        links: Sends messages to other nodes.
+        own_replica: Name and incarnation of this node.
     """
 
     def __init__(self, log: ClaimLog, links: NodeLinks, own_replica: ReplicaId) -> None:
@@ -105,10 +105,10 @@
         self._numbers = itertools.count(1)
         self._running: set[str] = set()
         self._not_run: OrderedDict[str, None] = OrderedDict()
-        self._background: set[asyncio.Task[None]] = set()
+        self._commit_tasks: set[asyncio.Task[None]] = set()
 
     async def prepare(self) -> None:
-        """Create the claim groups ahead of need: an outage of the store then finds them there."""
+        """Create the claim groups in advance, so that requests do not depend on the store later."""
         while True:
             groups = [f"{CLAIM_GROUP_PREFIX}{index}" for index in range(NUM_CLAIM_GROUPS)]
             results = [await self._log.ensure(group) for group in groups]
@@ -119,13 +119,13 @@
     async def run(
         self, request_id: str, body: bytes, run: RunRequest, max_wait_s: float = MAX_WAIT_S
     ) -> Result[RecordedAnswer, Problem]:
-        """Run a request unless its identifier has been claimed; then give that claim's answer.
+        """Run a request, or return the answer of the attempt that has claimed its identifier.
 
         Args:
-            request_id: The caller's identifier.
-            body: Everything that tells one request from another.
-            run: Sends the request; its failures say whether it may have run.
-            max_wait_s: Longest wait for the answer of another attempt, in seconds.
+            request_id: Identifier chosen by the caller.
+            body: Content that distinguishes the request from others.
+            run: Sends the request; the code of a failure says whether it may have run.
+            max_wait_s: Timeout of the wait for the answer of another attempt, in seconds.
         """
         digest = xxhash.xxh64_intdigest(body) >> 1
         deadline_s = now_s() + max_wait_s
@@ -135,26 +135,27 @@
             try:
                 claimed = await self._commit(Claim(request_id, digest, attempt), CLAIM_TIMEOUT_S)
                 if isinstance(claimed, Failure):
-                    # The claim may still land; whoever meets it will hear that nothing ran.
-                    self._note_not_run(attempt)
-                    self._in_background(Release(request_id, attempt))
+                    # The claim may still be committed; its readers ask this node and learn that
+                    # nothing ran.
+                    self._record_not_run(attempt)
+                    self._commit_in_background(Release(request_id, attempt))
                     return Failure(_no_quorum(request_id, claimed.failure()))
                 claim = claimed.unwrap()
                 if claim.attempt == attempt:
                     return await self._run_claimed(request_id, attempt, run)
             finally:
                 self._running.discard(attempt)
-            answer = await self._answer_of(request_id, digest, claim, deadline_s)
+            answer = await self._result_of_other_attempt(request_id, digest, claim, deadline_s)
             if answer is not None:
                 return answer
 
     async def read(self, request_id: str) -> Result[ClaimState, Problem]:
-        """Return the claim of an identifier without claiming it."""
-        # An abandon by nobody changes nothing and returns the claim, through the log's order.
+        """Return the claim of an identifier, without claiming it."""
+        # No attempt has an empty identifier, so this command is a linearizable read.
         return await self._commit(Abandon(request_id, ""), CLAIM_TIMEOUT_S)
 
     def answer_ask(self, ask: AskAttempt) -> AttemptAnswer:
-        """Answer another node's question about an attempt of this node."""
+        """Return the status of an attempt of this node."""
         if ask.attempt in self._running:
             return AttemptAnswer(AttemptStatus.RUNNING)
         if ask.attempt in self._not_run:
@@ -162,8 +163,8 @@
         return AttemptAnswer(AttemptStatus.UNKNOWN)
 
     async def drain(self) -> None:
-        """Wait for claims that are still being recorded."""
-        await asyncio.gather(*self._background, return_exceptions=True)
+        """Wait for the commands that are committed in the background."""
+        await asyncio.gather(*self._commit_tasks, return_exceptions=True)
 
     async def _run_claimed(
         self, request_id: str, attempt: str, run: RunRequest
@@ -171,42 +172,50 @@
         try:
             result = await run()
         except BaseException:
-            self._in_background(Abandon(request_id, attempt))
+            self._commit_in_background(Abandon(request_id, attempt))
             raise
-        ending = _ending(request_id, attempt, result)
-        recorded = await self._commit(ending, RECORD_TIMEOUT_S)
+        end_command = _end_command(request_id, attempt, result)
+        recorded = await self._commit(end_command, RECORD_TIMEOUT_S)
         if isinstance(recorded, Failure):
-            logging.warning("claim not recorded: %s", recorded.failure())
-            self._in_background(ending)
+            logging.warning(
+                "end of claim not committed; retrying in the background: %s", recorded.failure()
+            )
+            self._commit_in_background(end_command)
         return result
 
-    async def _answer_of(
+    async def _result_of_other_attempt(
         self, request_id: str, digest: int, claim: ClaimState, deadline_s: float
     ) -> Result[RecordedAnswer, Problem] | None:
-        """Return what another attempt came to, or ``None`` if the identifier became free."""
+        """Return the result of another attempt, or ``None`` if the identifier became free."""
         while claim.status is not None:
             if claim.body_digest != digest:
                 detail = "the identifier belongs to another request"
                 return Failure(Problem(ResultCode.IDENTIFIER_REUSED, detail, request_id))
             if claim.status is not ClaimStatus.HELD:
-                return _ended(request_id, claim)
-            status = await self._status_of(claim.attempt)
+                return _result_of_ended(request_id, claim)
+            status = await self._query_attempt_status(claim.attempt)
             if status is AttemptStatus.RUNNING:
                 if now_s() >= deadline_s:
-                    return Failure(_unknown(request_id, "the first attempt is still running"))
+                    return Failure(
+                        _outcome_unknown(request_id, "the first attempt is still running")
+                    )
                 await asyncio.sleep(WAIT_POLL_S)
                 claim = (await self.read(request_id)).value_or(claim)
                 continue
-            ending: ClaimCommand = Abandon(request_id, claim.attempt)
+            end_command: ClaimCommand = Abandon(request_id, claim.attempt)
             if status is AttemptStatus.NOT_RUN:
-                ending = Release(request_id, claim.attempt)
-            ended = await self._commit(ending, CLAIM_TIMEOUT_S)
+                end_command = Release(request_id, claim.attempt)
+            ended = await self._commit(end_command, CLAIM_TIMEOUT_S)
             if isinstance(ended, Failure):
-                return Failure(_unknown(request_id, "the first attempt was lost"))
+                return Failure(
+                    _outcome_unknown(
+                        request_id, "the first attempt was lost, and its claim could not be ended"
+                    )
+                )
             claim = ended.unwrap()
         return None
 
-    async def _status_of(self, attempt: str) -> AttemptStatus:
+    async def _query_attempt_status(self, attempt: str) -> AttemptStatus:
         owner = attempt.rpartition("/")[0]
         node = node_of(owner)
         if owner == self._own_replica:
@@ -218,23 +227,22 @@
         status = answer.value_or(None)
         if isinstance(status, AttemptAnswer):
             return status.status
-        # An owner that is thought to run gets the benefit of the doubt until the caller's time
-        # is up; one that is gone does not.
-        is_gone = not self._links.is_reachable(node)
-        return AttemptStatus.UNKNOWN if is_gone else AttemptStatus.RUNNING
+        # A reachable node that did not reply is assumed to be running the attempt.
+        is_unreachable = not self._links.is_reachable(node)
+        return AttemptStatus.UNKNOWN if is_unreachable else AttemptStatus.RUNNING
 
-    def _note_not_run(self, attempt: str) -> None:
+    def _record_not_run(self, attempt: str) -> None:
         self._not_run[attempt] = None
         while len(self._not_run) > MAX_NOT_RUN_REMEMBERED:
             self._not_run.popitem(last=False)
 
-    def _in_background(self, command: ClaimCommand) -> None:
-        async def record() -> None:
+    def _commit_in_background(self, command: ClaimCommand) -> None:
+        async def commit() -> None:
             await self._commit(command, RECORD_TIMEOUT_S)
 
-        task = asyncio.create_task(record())
-        self._background.add(task)
-        task.add_done_callback(self._background.discard)
+        task = asyncio.create_task(commit())
+        self._commit_tasks.add(task)
+        task.add_done_callback(self._commit_tasks.discard)
 
     async def _commit(self, command: ClaimCommand, timeout_s: float) -> Result[ClaimState, Problem]:
         group = claim_group(command.request_id)
@@ -245,7 +253,9 @@
         return proposed.bind(codec.decode)
 
 
-def _ending(request_id: str, attempt: str, result: Result[RecordedAnswer, Problem]) -> ClaimCommand:
+def _end_command(
+    request_id: str, attempt: str, result: Result[RecordedAnswer, Problem]
+) -> ClaimCommand:
     if isinstance(result, Success):
         return Finish(request_id, attempt, result.unwrap())
     if DESCRIPTIONS[result.failure().code].execution is Execution.NOT_RUN:
@@ -253,16 +263,16 @@
     return Abandon(request_id, attempt)
 
 
-def _ended(request_id: str, claim: ClaimState) -> Result[RecordedAnswer, Problem]:
+def _result_of_ended(request_id: str, claim: ClaimState) -> Result[RecordedAnswer, Problem]:
     if claim.answer is not None:
         return Success(claim.answer)
-    detail = "the request ran and its answer is no longer kept"
+    detail = "the request ran, but its answer is no longer stored"
     if claim.status is ClaimStatus.ABANDONED:
-        detail = "nobody knows whether the request ran"
-    return Failure(_unknown(request_id, detail))
+        detail = "it is unknown whether the request ran"
+    return Failure(_outcome_unknown(request_id, detail))
 
 
-def _unknown(request_id: str, detail: str) -> Problem:
+def _outcome_unknown(request_id: str, detail: str) -> Problem:
     return Problem(ResultCode.OUTCOME_UNKNOWN, detail, request_id)
 
 
