--- a/src/hollowrack/requests/claims.py
+++ b/src/hollowrack/requests/claims.py
@@ -151,23 +151,23 @@
 
         A :class:`Claim` succeeded if the returned claim names the caller's attempt.
         """
-        known = self.find(command.request_id)
+        current = self.find(command.request_id)
         if isinstance(command, Claim):
-            if known.status is None:
-                known = ClaimState(ClaimStatus.HELD, command.attempt, command.body_digest)
-                self._state.claims[command.request_id] = known
-            return known
-        if known.attempt != command.attempt:
-            return known
-        if known.status is ClaimStatus.ABANDONED and isinstance(command, Finish):
-            return self._finish_abandoned(command.request_id, known, command.answer)
-        if known.status is not ClaimStatus.HELD:
-            return known
+            if current.status is None:
+                current = ClaimState(ClaimStatus.HELD, command.attempt, command.body_digest)
+                self._state.claims[command.request_id] = current
+            return current
+        if current.attempt != command.attempt:
+            return current
+        if current.status is ClaimStatus.ABANDONED and isinstance(command, Finish):
+            return self._finish_abandoned(command.request_id, current, command.answer)
+        if current.status is not ClaimStatus.HELD:
+            return current
         match command:
             case Finish(answer=answer):
-                return self._end(command.request_id, known, ClaimStatus.FINISHED, answer)
+                return self._end(command.request_id, current, ClaimStatus.FINISHED, answer)
             case Abandon():
-                return self._end(command.request_id, known, ClaimStatus.ABANDONED, None)
+                return self._end(command.request_id, current, ClaimStatus.ABANDONED, None)
             case Release():
                 del self._state.claims[command.request_id]
                 return _FREE
@@ -175,29 +175,29 @@
     def _end(
         self,
         request_id: str,
-        known: ClaimState,
+        current: ClaimState,
         status: ClaimStatus,
         answer: RecordedAnswer | None,
     ) -> ClaimState:
         self._state.ended_order.append(request_id)
-        ended = self._replace(request_id, known, status, answer)
+        ended = self._replace(request_id, current, status, answer)
         self._evict_claims()
         return ended
 
     def _finish_abandoned(
-        self, request_id: str, known: ClaimState, answer: RecordedAnswer
+        self, request_id: str, current: ClaimState, answer: RecordedAnswer
     ) -> ClaimState:
         """Finish a claim that was abandoned before its attempt received the answer."""
-        return self._replace(request_id, known, ClaimStatus.FINISHED, answer)
+        return self._replace(request_id, current, ClaimStatus.FINISHED, answer)
 
     def _replace(
         self,
         request_id: str,
-        known: ClaimState,
+        current: ClaimState,
         status: ClaimStatus,
         answer: RecordedAnswer | None,
     ) -> ClaimState:
-        ended = ClaimState(status, known.attempt, known.body_digest, answer)
+        ended = ClaimState(status, current.attempt, current.body_digest, answer)
         self._state.claims[request_id] = ended
         if answer is not None:
             self._state.answer_order.append(request_id)
--- a/src/hollowrack/requests/forwarding.py
+++ b/src/hollowrack/requests/forwarding.py
@@ -77,7 +77,7 @@
                 unresolved = outcome.failure()
                 continue
             return outcome
-        refused = state.refuse(NotRunCode.BACK_END_REFUSED, "no worker took the request")
+        refused = state.refuse(NotRunCode.BACK_END_REFUSED, "no worker accepted the request")
         return Failure(unresolved or refused.problem)
 
     async def _attempt(
--- a/src/hollowrack/requests/gateway.py
+++ b/src/hollowrack/requests/gateway.py
@@ -163,9 +163,9 @@
                 Problem(ResultCode.UNKNOWN_REQUEST, detail, request_id, retry_after_s=1.0)
             )
         if claim is not None and claim.status is not None:
-            detail = "no answer is kept, and the request may have run"
+            detail = "no answer is stored, and the request may have run"
             return Failure(Problem(ResultCode.OUTCOME_UNKNOWN, detail, request_id))
-        return Failure(Problem(ResultCode.UNKNOWN_REQUEST, "no answer is kept", request_id))
+        return Failure(Problem(ResultCode.UNKNOWN_REQUEST, "no answer is stored", request_id))
 
     async def wait_idle(self, timeout_s: float) -> bool:
         """Wait until no request is in progress; return whether that happened within the timeout."""
--- a/src/hollowrack/requests/generation.py
+++ b/src/hollowrack/requests/generation.py
@@ -171,7 +171,7 @@
                     return outcome
                 continue
             return outcome
-        refused = state.refuse(NotRunCode.BACK_END_REFUSED, "no engine took the request")
+        refused = state.refuse(NotRunCode.BACK_END_REFUSED, "no engine accepted the request")
         return Failure(unresolved or refused.problem)
 
     async def _attempt(
--- a/src/hollowrack/requests/home_answers.py
+++ b/src/hollowrack/requests/home_answers.py
@@ -87,6 +87,6 @@
         found = self._store.find(request.request_id)
         if found is None:
             raise ProblemError(
-                Problem(ResultCode.UNKNOWN_REQUEST, "no answer is kept", request.request_id)
+                Problem(ResultCode.UNKNOWN_REQUEST, "no answer is stored", request.request_id)
             )
         return found
--- a/src/hollowrack/requests/unsafe.py
+++ b/src/hollowrack/requests/unsafe.py
@@ -1,6 +1,6 @@
 """At-most-once execution of requests that are unsafe to repeat, based on replicated claims.
 
-The claim is committed to the replicated log before the first byte is sent. When a repetition meets
+The claim is committed to the replicated log before the first byte is sent. When a repetition finds
 a held claim, it asks the node that made the attempt for its status. A node that still runs under
 the same incarnation knows whether the attempt is running or did not run. Otherwise the outcome is
 unknown, and the claim is abandoned, which ends all repetitions without a wait.
--- a/src/hollowrack/routing/broker.py
+++ b/src/hollowrack/routing/broker.py
@@ -162,9 +162,9 @@
         zone = self._zone(report.zone)
         reported = {placement.placement_id for placement in report.placements}
         for placement in report.placements:
-            known = zone.active.get(placement.placement_id)
-            if known is not None:
-                known.last_report_s = now_s()
+            active = zone.active.get(placement.placement_id)
+            if active is not None:
+                active.last_report_s = now_s()
             elif placement.address in self._parts.fleet.records:
                 zone.active[placement.placement_id] = _ActivePlacement(
                     placement, report.node, now_s()
