--- a/src/hollowrack/quarantine/placement.py
+++ b/src/hollowrack/quarantine/placement.py
@@ -1,8 +1,7 @@
-"""Keeps suspects apart, so that one which ends a worker does not condemn the others.
+"""Placement of suspects: keeps requests one crash short of quarantine on separate workers.
 
-All that a worker runs is broken off when it ends, and whatever is caught in three such ends looks
-just like the one request that caused them. So a request that has been caught twice shares no worker
-with another suspect: its third end is its own.
+A crash interrupts all requests of the worker, and each of them counts it. The last crash before a
+quarantine must not be caused by another suspect at the same worker.
 """
 
 from collections import Counter, defaultdict
@@ -10,37 +9,40 @@
 from hollowrack.forwarding.types import WorkerIncarnation
 from hollowrack.quarantine.registry import QUARANTINE_CRASH_THRESHOLD, SuspectRegistry
 
-# One end more condemns such a request.
+# One more crash quarantines such a request.
 ISOLATION_CRASH_THRESHOLD = QUARANTINE_CRASH_THRESHOLD - 1
 
 
 class SuspectPlacement:
-    """Where this node runs suspects.
+    """Records where this node runs suspects, and decides which workers they may use.
 
     Args:
-        register: How many workers have ended under each request.
+        registry: Suspects known to this node.
     """
 
-    def __init__(self, register: SuspectRegistry) -> None:
-        self._register = register
+    def __init__(self, registry: SuspectRegistry) -> None:
+        self._registry = registry
         self._suspects_at: defaultdict[WorkerIncarnation, Counter[str]] = defaultdict(Counter)
 
     def allows(self, fingerprint: str, worker: WorkerIncarnation) -> bool:
-        """Whether a request may begin at a worker beside those that are there."""
-        num_ended = self._register.num_crashes(fingerprint)
-        if num_ended == 0 or worker not in self._suspects_at:
+        """Return whether a request may start at a worker, given the suspects that run there."""
+        num_crashes = self._registry.num_crashes(fingerprint)
+        if num_crashes == 0 or worker not in self._suspects_at:
             return True
         others = [other for other in self._suspects_at[worker] if other != fingerprint]
-        most_ended = max((self._register.num_crashes(other) for other in others), default=0)
-        return most_ended == 0 or max(num_ended, most_ended) < ISOLATION_CRASH_THRESHOLD
+        max_other_crashes = max((self._registry.num_crashes(other) for other in others), default=0)
+        return (
+            max_other_crashes == 0
+            or max(num_crashes, max_other_crashes) < ISOLATION_CRASH_THRESHOLD
+        )
 
     def begin(self, fingerprint: str, worker: WorkerIncarnation) -> None:
-        """A request begins at a worker."""
-        if self._register.num_crashes(fingerprint) > 0:
+        """Record the start of a request at a worker."""
+        if self._registry.num_crashes(fingerprint) > 0:
             self._suspects_at[worker][fingerprint] += 1
 
     def end(self, fingerprint: str, worker: WorkerIncarnation) -> None:
-        """A request is over at a worker."""
+        """Record the end of a request at a worker."""
         suspects = self._suspects_at.get(worker)
         if suspects is None or fingerprint not in suspects:
             return
