--- a/src/hollowrack/admission/controller.py
+++ b/src/hollowrack/admission/controller.py
@@ -17,12 +17,12 @@
 from hollowrack.routing.fleet import PoolLoad
 from hollowrack.tasks import cancel_all
 
-PUMP_INTERVAL_S = 0.02
+QUEUE_POLL_INTERVAL_S = 0.02
 SERVICE_TIME_SMOOTHING = 0.1
 INITIAL_SERVICE_TIME_S = 0.5
 # Maximum expected wait as a fraction of the mean service time. Beyond it, a refusal with a
 # retry-after time costs the caller less than queueing.
-MAX_QUEUE_SHARE = 0.5
+MAX_WAIT_FRACTION = 0.5
 MIN_RETRY_AFTER_S = 0.2
 
 # Maximum age of the data in load reports: the engines' reporting delay plus the poll interval.
@@ -59,7 +59,7 @@
         self.history.append((now_s(), self.num_running))
         self._trim_history()
 
-    def num_added_lately(self) -> int:
+    def num_added_since_report(self) -> int:
         """Return the net number of requests that this node added since the last load reports."""
         self._trim_history()
         return max(0, self.num_running - self.history[0][1])
@@ -160,7 +160,7 @@
         if self._has_free_slot(pool_name, pool) and not len(pool.queue):
             return Success(self._make_ticket(pool))
         expected_wait_s = self._expected_wait_s(pool_name, pool)
-        max_wait_s = MAX_QUEUE_SHARE * pool.mean_service_s
+        max_wait_s = MAX_WAIT_FRACTION * pool.mean_service_s
         if not may_queue or expected_wait_s > min(max_wait_s, deadline_s - now_s()):
             return Failure(_overloaded(pool_name, max(MIN_RETRY_AFTER_S, expected_wait_s)))
         waiter = _Waiter(min(deadline_s, now_s() + 2 * max_wait_s))
@@ -203,7 +203,7 @@
         since then as this one. Otherwise all nodes together would overcommit the same slots.
         """
         num_others = max(0, self._num_nodes() - 1)
-        added_by_others = pool.num_added_lately() * num_others
+        added_by_others = pool.num_added_since_report() * num_others
         return max(load.num_live, pool.num_running) + added_by_others
 
     def _expected_wait_s(self, pool_name: str, pool: _Pool) -> float:
@@ -214,7 +214,7 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(PUMP_INTERVAL_S)
+            await asyncio.sleep(QUEUE_POLL_INTERVAL_S)
             for name, pool in self._pools.items():
                 self._admit_queued(name, pool)
 
--- a/src/hollowrack/requests/lifecycle.py
+++ b/src/hollowrack/requests/lifecycle.py
@@ -35,7 +35,7 @@
     BACK_END_FAILED = ResultCode.BACK_END_FAILED
 
 
-class NoBytesSentProof(Enum):
+class NotRunProof(Enum):
     """Proof that a dispatched request did not run."""
 
     NO_CONNECTION = "the connection was never made"
@@ -100,7 +100,7 @@
     request_id: str
     address: str
 
-    def did_not_run(self, proof: NoBytesSentProof) -> Admitted:
+    def did_not_run(self, proof: NotRunProof) -> Admitted:
         """Return to :class:`Admitted`, on proof that the request did not run."""
         del proof  # Required so that the caller states its proof.
         return Admitted(self.request_id)
--- a/src/hollowrack/requests/home_answers.py
+++ b/src/hollowrack/requests/replicated_answers.py
@@ -9,19 +9,19 @@
 
 from hollowrack.messages.codec import message
 from hollowrack.replication.links import NodeLinks
-from hollowrack.requests.answers import AnswerStore
+from hollowrack.requests.answer_store import AnswerStore
 from hollowrack.requests.types import RecordedAnswer
 from hollowrack.results import Problem, ProblemError, ResultCode
 
-NUM_HOMES = 2
+NUM_REPLICAS = 2
 # Reads ask more nodes than writes do, because a node that joins changes the replicas.
-NUM_HOMES_ASKED = 4
-ASK_TIMEOUT_S = 1.0
+NUM_READ_REPLICAS = 4
+FIND_TIMEOUT_S = 1.0
 
 
 @message("answers.keep")
 @dataclass(frozen=True)
-class KeepAnswer:
+class StoreAnswer:
     """Message to a node to store an answer."""
 
     request_id: str
@@ -36,7 +36,7 @@
     request_id: str
 
 
-class HomeAnswers:
+class ReplicatedAnswers:
     """Stores and finds answers across the fleet.
 
     Args:
@@ -50,21 +50,21 @@
         self._links = links
         self._store = store
 
-    def keep(self, request_id: str, answer: RecordedAnswer) -> None:
+    def add(self, request_id: str, answer: RecordedAnswer) -> None:
         """Store an answer at this node and at its replicas."""
-        self._store.keep(request_id, answer)
-        for node in self._links.candidates(request_id)[:NUM_HOMES]:
+        self._store.add(request_id, answer)
+        for node in self._links.candidates(request_id)[:NUM_REPLICAS]:
             if node != self._node:
-                self._links.post(node, KeepAnswer(request_id, answer))
+                self._links.post(node, StoreAnswer(request_id, answer))
 
     async def find(self, request_id: str) -> RecordedAnswer | None:
         """Return the answer if it is stored at this node or at a replica."""
         local = self._store.find(request_id)
         if local is not None:
             return local
-        replicas = self._links.candidates(request_id)[:NUM_HOMES_ASKED]
+        replicas = self._links.candidates(request_id)[:NUM_READ_REPLICAS]
         requests = [
-            self._links.request(node, FindAnswer(request_id), ASK_TIMEOUT_S)
+            self._links.request(node, FindAnswer(request_id), FIND_TIMEOUT_S)
             for node in replicas
             if node != self._node
         ]
@@ -74,9 +74,9 @@
                 return found
         return None
 
-    def answer_keep(self, request: KeepAnswer) -> None:
+    def receive_answer(self, request: StoreAnswer) -> None:
         """Store an answer received from another node."""
-        self._store.keep(request.request_id, request.answer)
+        self._store.add(request.request_id, request.answer)
 
     def answer_find(self, request: FindAnswer) -> RecordedAnswer:
         """Return an answer to another node.
--- a/src/hollowrack/routing/broker.py
+++ b/src/hollowrack/routing/broker.py
@@ -24,11 +24,11 @@
 from hollowrack.routing.types import BackEndKind, BackEndStatus, Priority, RouteRequest
 from hollowrack.tasks import cancel_all
 
-RESTATE_INTERVAL_S = 1.0
+REPORT_INTERVAL_S = 1.0
 PLACE_TIMEOUT_MARGIN_S = 0.5
-MAX_OTHER_ZONES_ASKED = 2
+MAX_REMOTE_ZONES = 2
 # A placement that its node has not reported for this long is considered finished.
-FORGOTTEN_AFTER_S = 3.0
+PLACEMENT_TTL_S = 3.0
 
 
 @message("placement.place")
@@ -59,7 +59,7 @@
 
 @message("placement.held")
 @dataclass(frozen=True)
-class HeldPlacements:
+class PlacementReport:
     """Report of all placements that a node has in progress on the engines of one zone and pool."""
 
     node: str
@@ -151,13 +151,13 @@
         zone.active[placement.placement_id] = _ActivePlacement(placement, request.node, now_s())
         return placement
 
-    def answer_done(self, done: PlacementDone) -> None:
+    def receive_done(self, done: PlacementDone) -> None:
         """Release a placement that ended."""
         zone = self._zone(done.placement.zone)
         if zone.active.pop(done.placement.placement_id, None) is not None:
             zone.placer.finish(done.placement, done.outcome, done.service_s)
 
-    def answer_held(self, report: HeldPlacements) -> None:
+    def receive_report(self, report: PlacementReport) -> None:
         """Reconcile with a node's report: add unknown placements, drop those it does not list."""
         zone = self._zone(report.zone)
         reported = {placement.placement_id for placement in report.placements}
@@ -169,10 +169,10 @@
                 zone.active[placement.placement_id] = _ActivePlacement(
                     placement, report.node, now_s()
                 )
-                zone.placer.adopt(placement)
+                zone.placer.record_placement(placement)
         for placement_id, entry in list(zone.active.items()):
             # A newer placement may have been made after the report was sent.
-            is_old = now_s() - entry.last_report_s >= RESTATE_INTERVAL_S
+            is_old = now_s() - entry.last_report_s >= REPORT_INTERVAL_S
             if entry.node == report.node and placement_id not in reported and is_old:
                 self._drop(zone, placement_id)
 
@@ -188,10 +188,10 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(RESTATE_INTERVAL_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
             for zone in self._zones.values():
                 for placement_id, entry in list(zone.active.items()):
-                    if now_s() - entry.last_report_s >= FORGOTTEN_AFTER_S:
+                    if now_s() - entry.last_report_s >= PLACEMENT_TTL_S:
                         self._drop(zone, placement_id)
 
     def _on_change(self, change: MembershipChange) -> None:
@@ -269,11 +269,11 @@
             return
         self._active.pop(placement.placement_id, None)
         # Update this node's own view at once; the broker records the outcome as well.
-        self._parts.fleet.note_evidence(placement.address, outcome, now_s())
+        self._parts.fleet.record_outcome(placement.address, outcome, now_s())
         done = PlacementDone(placement, outcome, service_s)
         broker = self.broker_of(placement.pool, placement.zone)
         if broker == self._parts.node:
-            self._broker.answer_done(done)
+            self._broker.receive_done(done)
         elif broker is not None:
             self._membership.post(broker, done)
 
@@ -337,11 +337,11 @@
         others = [zone for zone in free_slots if zone != route.zone]
         others.sort(key=lambda zone: (-free_slots[zone], zone))
         reachable = [zone for zone in others if self._membership.swim.is_zone_reachable(zone)]
-        return own + reachable[:MAX_OTHER_ZONES_ASKED]
+        return own + reachable[:MAX_REMOTE_ZONES]
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(RESTATE_INTERVAL_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
             by_broker: dict[tuple[str, str], list[Placement]] = {}
             for placement in self._active.values():
                 key = (placement.pool, placement.zone)
@@ -350,10 +350,10 @@
                 self._report(pool, zone, tuple(placements))
 
     def _report(self, pool: str, zone: str, placements: tuple[Placement, ...]) -> None:
-        report = HeldPlacements(self._parts.node, zone, placements)
+        report = PlacementReport(self._parts.node, zone, placements)
         broker = self.broker_of(pool, zone)
         if broker == self._parts.node:
-            self._broker.answer_held(report)
+            self._broker.receive_report(report)
         elif broker is not None:
             self._membership.post(broker, report)
 
--- a/src/hollowrack/routing/choice.py
+++ b/src/hollowrack/routing/choice.py
@@ -9,7 +9,7 @@
 
 from hollowrack.hashing import text_hash
 from hollowrack.results import Problem, ResultCode
-from hollowrack.routing.prefix import PrefixIndex
+from hollowrack.routing.prefix_index import PrefixIndex
 from hollowrack.routing.types import (
     BackEnd,
     BackEndStatus,
@@ -28,13 +28,13 @@
     """Parameters of the routing cost function.
 
     Attributes:
-        other_zone_ms: Added latency of a request to another zone, in milliseconds.
+        cross_zone_ms: Added latency of a request to another zone, in milliseconds.
         full_load_ms: Added latency of an engine with all slots busy, in milliseconds.
         prefill_block_ms: Time to compute one prefix block that is not cached, in milliseconds.
         max_affinity_load: Fraction of busy slots above which cached prefixes are ignored.
     """
 
-    other_zone_ms: float = 2.0
+    cross_zone_ms: float = 2.0
     full_load_ms: float = 20.0
     prefill_block_ms: float = 2.0
     max_affinity_load: float = 0.9
@@ -139,7 +139,7 @@
     num_queued = max(0.0, load + 1 - num_slots)
     queue_ms = back_end.mean_service_ms * num_queued / num_slots
     queue_ms += costs.full_load_ms * min(1.0, load_fraction)
-    distance_ms = 0.0 if back_end.zone == request.zone else costs.other_zone_ms
+    distance_ms = 0.0 if back_end.zone == request.zone else costs.cross_zone_ms
     saved_ms = 0.0
     if load_fraction <= costs.max_affinity_load:
         matching = prefixes.num_matching(back_end.address, request.prefix_blocks)
--- a/src/hollowrack/routing/observer.py
+++ b/src/hollowrack/routing/observer.py
@@ -12,9 +12,9 @@
 from hollowrack.routing.types import BackEndKind
 from hollowrack.tasks import cancel_all
 
-MACHINE_LIST_INTERVAL_S = 0.5
-ENGINE_INTERVAL_S = 0.25
-OTHERS_EVERY_ROUNDS = 4
+MACHINE_LIST_POLL_INTERVAL_S = 0.5
+ENGINE_POLL_INTERVAL_S = 0.25
+OTHER_ENGINES_POLL_ROUNDS = 4
 
 
 class FleetObserver:
@@ -24,7 +24,7 @@
         fleet: The view to update.
         read_machines: Reads the machine list.
         make_client: Returns the client of an engine by its address.
-        is_close: Returns whether this node makes decisions for an engine; such engines are polled
+        polls_every_round: Returns whether this node makes decisions for an engine; such engines are polled
             in every round.
     """
 
@@ -33,12 +33,12 @@
         fleet: FleetView,
         read_machines: ReadMachines,
         make_client: MakeEngineClient,
-        is_close: Callable[[Machine], bool],
+        polls_every_round: Callable[[Machine], bool],
     ) -> None:
         self._fleet = fleet
         self._read_machines = read_machines
         self._make_client = make_client
-        self._is_close = is_close
+        self._is_close = polls_every_round
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
@@ -58,7 +58,7 @@
             # If the list cannot be read, the view stays as it is.
             if isinstance(listed, Success):
                 self._fleet.apply_machine_list(listed.unwrap())
-            await asyncio.sleep(MACHINE_LIST_INTERVAL_S)
+            await asyncio.sleep(MACHINE_LIST_POLL_INTERVAL_S)
 
     async def _run_engines(self) -> None:
         for round_number in itertools.count():
@@ -68,19 +68,23 @@
                 if self._is_due(address, round_number + position)
             ]
             await asyncio.gather(*(self._poll_engine(address) for address in addresses))
-            await asyncio.sleep(ENGINE_INTERVAL_S)
+            await asyncio.sleep(ENGINE_POLL_INTERVAL_S)
 
     def _is_due(self, address: str, round_number: int) -> bool:
         """Whether an engine is polled in this round.
 
         New engines and those this node decides for are polled in every round, others in every
-        ``OTHERS_EVERY_ROUNDS``-th.
+        ``OTHER_ENGINES_POLL_ROUNDS``-th.
         """
         record = self._fleet.records[address]
         if record.machine.kind != BackEndKind.ENGINE.value:
             return False
         is_new = record.engine is None
-        return is_new or round_number % OTHERS_EVERY_ROUNDS == 0 or self._is_close(record.machine)
+        return (
+            is_new
+            or round_number % OTHER_ENGINES_POLL_ROUNDS == 0
+            or self._is_close(record.machine)
+        )
 
     async def _poll_engine(self, address: str) -> None:
         client = self._make_client(address)
--- a/src/hollowrack/routing/prefix.py
+++ b/src/hollowrack/routing/prefix_index.py
@@ -75,7 +75,7 @@
         for block in events.removed:
             index.blocks.pop(block, None)
 
-    def note_sent(self, address: str, blocks: tuple[int, ...]) -> None:
+    def record_sent(self, address: str, blocks: tuple[int, ...]) -> None:
         """Add the blocks of a prompt that was sent to an engine, ahead of its cache events."""
         index = self._engines.setdefault(address, _EngineIndex())
         for block in blocks:
@@ -96,7 +96,7 @@
             num_matching += 1
         return num_matching * (UNCERTAIN_WEIGHT if index.is_uncertain else 1.0)
 
-    def forget(self, address: str) -> None:
+    def remove(self, address: str) -> None:
         """Remove an engine."""
         self._engines.pop(address, None)
 
