--- a/src/hollowrack/requests/at_most_once.py
+++ b/src/hollowrack/requests/at_most_once.py
@@ -154,11 +154,11 @@
         # No attempt has an empty identifier, so this command is a linearizable read.
         return await self._commit(Abandon(request_id, ""), CLAIM_TIMEOUT_S)
 
-    def attempt_status(self, ask: AttemptStatusRequest) -> AttemptStatusReply:
+    def attempt_status(self, request: AttemptStatusRequest) -> AttemptStatusReply:
         """Return the status of an attempt of this node."""
-        if ask.attempt in self._running:
+        if request.attempt in self._running:
             return AttemptStatusReply(AttemptStatus.RUNNING)
-        if ask.attempt in self._not_run:
+        if request.attempt in self._not_run:
             return AttemptStatusReply(AttemptStatus.NOT_RUN)
         return AttemptStatusReply(AttemptStatus.UNKNOWN)
 
--- a/src/hollowrack/routing/broker.py
+++ b/src/hollowrack/routing/broker.py
@@ -287,7 +287,7 @@
         self, zone: str, request: PlacementRequest, may_queue: bool
     ) -> Result[Placement, Problem]:
         route = request.route.in_zone(zone)
-        asked = PlacementRequest(
+        zone_request = PlacementRequest(
             request.request_id,
             request.tenant,
             route,
@@ -295,7 +295,9 @@
             request.attempt,
             may_queue,
         )
-        placed = await self._request_placement(zone, PlaceRequest(self._parts.node, zone, asked))
+        placed = await self._request_placement(
+            zone, PlaceRequest(self._parts.node, zone, zone_request)
+        )
         if isinstance(placed, Success):
             self._active[placed.unwrap().placement_id] = placed.unwrap()
         return placed
--- a/src/hollowrack/routing/fleet.py
+++ b/src/hollowrack/routing/fleet.py
@@ -101,7 +101,8 @@
     Attributes:
         records: State of each back end, by address.
         prefixes: Index of the prompt prefixes that engines have cached.
-        is_marked_leaving: Returns whether an address is marked as leaving; asked when it is first listed.
+        is_marked_leaving: Returns whether an address is marked as leaving; called when it is first
+            listed.
     """
 
     def __init__(self) -> None:
--- a/src/hollowrack/routing/observer.py
+++ b/src/hollowrack/routing/observer.py
@@ -24,8 +24,8 @@
         fleet: The view to update.
         read_machines: Reads the machine list.
         make_client: Returns the client of an engine by its address.
-        polls_every_round: Returns whether this node makes decisions for an engine; such engines are polled
-            in every round.
+        polls_every_round: Returns whether an engine is polled in every round, because this node
+            makes decisions for it.
     """
 
     def __init__(
