--- a/src/hollowrack_standins/coordination_store.py
+++ b/src/hollowrack_standins/coordination_store.py
@@ -84,7 +84,7 @@
         self._history.clear()
         self._forgotten_revision = self.revision
 
-    def write_silently(self, puts: Sequence[Put]) -> None:
+    def put_without_notifying(self, puts: Sequence[Put]) -> None:
         """Write so that watches which wait hear nothing, and drop the history."""
         changed, self._changed = self._changed, asyncio.Event()
         self.transact([], puts, [])
--- a/src/hollowrack_standins/engine.py
+++ b/src/hollowrack_standins/engine.py
@@ -21,7 +21,7 @@
     EngineCore,
     EngineStatus,
     Sequence,
-    Token,
+    StepOutput,
 )
 from hollowrack_standins.server import StandinServer
 
@@ -29,7 +29,7 @@
 _MAX_LOAD_HISTORY = 512
 WEIGHT_CHUNK_BYTES = 64 * 1024
 
-TokenQueue = asyncio.Queue[Token | None]
+TokenQueue = asyncio.Queue[StepOutput | None]
 
 
 class EngineStandin:
@@ -54,8 +54,8 @@
         self._initial_version = weight_version
         self.core = EngineCore(config, uuid.uuid4().hex, weight_version)
         self.num_cancelled = 0
-        self.accepted_tokens: list[int] = []
-        self.refused_tokens: list[int] = []
+        self.accepted_fencing_tokens: list[int] = []
+        self.refused_fencing_tokens: list[int] = []
         self._queues: dict[str, TokenQueue] = {}
         self._load_history: deque[tuple[float, int, int, int]] = deque(maxlen=_MAX_LOAD_HISTORY)
         self._swap_lock = asyncio.Lock()
@@ -184,9 +184,9 @@
                 return PlainTextResponse("the weights cannot be read", status_code=502)
             is_for_this_life = body["incarnation"] == self.core.incarnation
             if not is_for_this_life or not self.core.begin_swap(token):
-                self.refused_tokens.append(token)
+                self.refused_fencing_tokens.append(token)
                 return PlainTextResponse("fenced: an older token or life", status_code=409)
-            self.accepted_tokens.append(token)
+            self.accepted_fencing_tokens.append(token)
             core = self.core
             await asyncio.sleep(self._config.swap_s)
             if not core.end_swap(body["weight_version"]):
@@ -312,7 +312,7 @@
             if not more:
                 return
 
-    def _event(self, token: Token) -> bytes:
+    def _event(self, token: StepOutput) -> bytes:
         body: dict[str, Any] = {
             "id": token.request_id,
             "choices": [{"index": 0, "text": token.text, "finish_reason": token.finish_reason}],
--- a/tests/jobs/test_lengths.py
+++ b/tests/jobs/test_lengths.py
@@ -1,6 +1,6 @@
 """Guards against wrong estimates of item lengths, which decide the order and moves of items."""
 
-from hollowrack.jobs.lengths import LengthEstimate
+from hollowrack.jobs.length_estimate import LengthEstimate
 
 
 def test_estimate_is_zero_before_the_first_item_has_finished() -> None:
