--- a/src/hollowrack/membership/messages.py
+++ b/src/hollowrack/membership/messages.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True)
-class Rumours:
+class PiggybackedUpdates:
     """Updates of members and facts that are piggybacked on each datagram."""
 
     members: tuple[Member, ...] = ()
@@ -20,7 +20,7 @@
     """Direct probe; requests an :class:`Ack` with the same number."""
 
     number: int
-    rumours: Rumours
+    rumours: PiggybackedUpdates
 
 
 @message("membership.ack")
@@ -29,7 +29,7 @@
     """Answer to a ping with the same number."""
 
     number: int
-    rumours: Rumours
+    rumours: PiggybackedUpdates
 
 
 @message("membership.ping_request")
@@ -39,12 +39,12 @@
 
     number: int
     target: str
-    rumours: Rumours
+    rumours: PiggybackedUpdates
 
 
 @message("membership.exchange")
 @dataclass(frozen=True)
-class Exchange:
+class FullState:
     """All members and facts known to a node; the peer answers with its own (over TCP)."""
 
     members: tuple[Member, ...]
--- a/src/hollowrack/membership/service.py
+++ b/src/hollowrack/membership/service.py
@@ -10,7 +10,7 @@
 
 from hollowrack.clock import now_s
 from hollowrack.hashing import text_hash
-from hollowrack.membership.messages import Digest, DigestAnswer, Exchange, GossipMessage
+from hollowrack.membership.messages import Digest, DigestAnswer, FullState, GossipMessage
 from hollowrack.membership.network import NodeNetwork
 from hollowrack.membership.swim import MembershipChange, Swim
 from hollowrack.membership.types import Fact, Member
@@ -19,7 +19,7 @@
 
 TICK_INTERVAL_S = 0.05
 EXCHANGE_TIMEOUT_S = 2.0
-MAX_POSTS_WAITING = 4096
+MAX_PENDING_TASKS = 4096
 
 
 class MembershipService:
@@ -78,7 +78,7 @@
         outbox, self.swim.outbox = self.swim.outbox, []
         for datagram in outbox:
             self._network.send_datagram(datagram.address, datagram.message)
-        peers, self.swim.exchange_with = self.swim.exchange_with, []
+        peers, self.swim.exchange_peers = self.swim.exchange_peers, []
         for peer in peers:
             self._spawn(self._exchange_state(peer))
         changes, self.swim.changes = self.swim.changes, []
@@ -88,7 +88,7 @@
             )
             for listener in self.on_change:
                 listener(change)
-        facts, self.swim.risen_facts = self.swim.risen_facts, []
+        facts, self.swim.raised_facts = self.swim.raised_facts, []
         for fact in facts:
             for fact_listener in self.on_fact:
                 fact_listener(fact)
@@ -103,24 +103,24 @@
             return
         exchange_result = await self.request(peer, self.full_state(), EXCHANGE_TIMEOUT_S)
         state = exchange_result.value_or(None)
-        if isinstance(state, Exchange):
+        if isinstance(state, FullState):
             self._merge(state)
 
-    def full_state(self) -> Exchange:
+    def full_state(self) -> FullState:
         """Return all members and facts known to this node."""
         facts = tuple(Fact(name, value) for name, value in sorted(self.swim.facts.items()))
-        return Exchange(tuple(self.swim.members.values()), facts)
+        return FullState(tuple(self.swim.members.values()), facts)
 
     def answer_digest(self, digest: Digest) -> DigestAnswer:
         """Compare a peer's digest with this node's."""
         return DigestAnswer(digest.state_hash == self.swim.state_hash())
 
-    def answer_exchange(self, state: Exchange) -> Exchange:
+    def answer_exchange(self, state: FullState) -> FullState:
         """Merge a peer's state and return the resulting state of this node."""
         self._merge(state)
         return self.full_state()
 
-    def _merge(self, state: Exchange) -> None:
+    def _merge(self, state: FullState) -> None:
         self.swim.merge(state.members, state.facts)
         self._process_outputs()
 
@@ -141,7 +141,7 @@
     def post(self, node: str, message: object) -> None:
         """Send a one-way message; dropped if too many tasks are pending."""
         member = self.swim.members.get(node)
-        if member is not None and len(self._tasks) < MAX_POSTS_WAITING:
+        if member is not None and len(self._tasks) < MAX_PENDING_TASKS:
             self._spawn(self._network.send(member.address, message))
 
     def is_reachable(self, node: str) -> bool:
@@ -153,16 +153,16 @@
         member = self.swim.members.get(node)
         return (member.incarnation or None) if member is not None else None
 
-    def is_retiring(self, node: str) -> bool:
+    def is_leaving_or_dead(self, node: str) -> bool:
         """Whether a node is leaving, declared dead by its own zone, or unknown."""
         member = self.swim.members.get(node)
-        return member is None or not member.takes_work
+        return member is None or not member.accepts_work
 
     def candidates(self, key: str, preferred_zone: str | None = None) -> list[str]:
         """Return the live nodes by rendezvous hash of ``key``, alternating between zones."""
         nodes_by_zone: dict[str, list[tuple[int, str]]] = {}
         for member in self.swim.members.values():
-            if member.takes_work and member.incarnation:
+            if member.accepts_work and member.incarnation:
                 weight = text_hash(f"{key}\n{member.node}")
                 nodes_by_zone.setdefault(member.zone, []).append((weight, member.node))
         preferred = sorted(nodes_by_zone.pop(preferred_zone or "", []), reverse=True)
--- a/src/hollowrack/replication/host.py
+++ b/src/hollowrack/replication/host.py
@@ -43,13 +43,13 @@
         replica: Protocol state.
         state_machine: Applies the group's committed commands.
         storage: Stores the replica's records.
-        waiting: Futures of the proposals that are not committed yet, by log index.
+        pending_proposals: Futures of the proposals that are not committed yet, by log index.
     """
 
     replica: Replica
     state_machine: StateMachine
     storage: Storage
-    waiting: dict[int, asyncio.Future[bytes]]
+    pending_proposals: dict[int, asyncio.Future[bytes]]
 
 
 class GroupHost:
@@ -176,7 +176,7 @@
             leader = hosted.replica.leader or ""
             return Failure(Problem(ResultCode.NOT_LEADER, node_of(leader), group))
         future: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        hosted.waiting[index] = future
+        hosted.pending_proposals[index] = future
         # Batches proposals of the same event loop iteration into one message and one flush.
         await asyncio.sleep(0)
         self._run_action(group, hosted, Replica.replicate)
@@ -184,7 +184,7 @@
             async with asyncio.timeout(PROPOSAL_TIMEOUT_S):
                 return Success(await future)
         except TimeoutError:
-            hosted.waiting.pop(index, None)
+            hosted.pending_proposals.pop(index, None)
             return Failure(
                 Problem(
                     ResultCode.OUTCOME_UNKNOWN,
@@ -221,7 +221,7 @@
         hosted.storage.close()
         self.groups.pop(group, None)
         if self._journals is not None:
-            self._journals.forget(group)
+            self._journals.remove(group)
 
     def _run_action(
         self, group: str, hosted: HostedGroup, action: Callable[[Replica], object]
@@ -247,10 +247,10 @@
     def _resolve_proposals(self, hosted: HostedGroup) -> None:
         applied, hosted.replica.applied = hosted.replica.applied, []
         for entry in applied:
-            future = hosted.waiting.pop(entry.index, None)
+            future = hosted.pending_proposals.pop(entry.index, None)
             if future is not None and not future.done():
                 future.set_result(entry.outcome)
-        if hosted.waiting and hosted.replica.role is not Role.LEADER:
+        if hosted.pending_proposals and hosted.replica.role is not Role.LEADER:
             problem = Problem(
                 ResultCode.OUTCOME_UNKNOWN, "this replica lost its leadership before the commit"
             )
@@ -263,7 +263,7 @@
         self._fail_proposals(hosted, problem)
 
     def _fail_proposals(self, hosted: HostedGroup, problem: Problem) -> None:
-        waiting, hosted.waiting = hosted.waiting, {}
+        waiting, hosted.pending_proposals = hosted.pending_proposals, {}
         for future in waiting.values():
             if not future.done():
                 future.set_exception(ProblemError(problem))
--- a/src/hollowrack/replication/links.py
+++ b/src/hollowrack/replication/links.py
@@ -22,7 +22,7 @@
     def incarnation_of(self, node: str) -> str | None:
         """Return the last incarnation announced by a node; ``None`` if unknown."""
 
-    def is_retiring(self, node: str) -> bool:
+    def is_leaving_or_dead(self, node: str) -> bool:
         """Whether a node is leaving, declared dead by its own zone, or unknown."""
 
     def candidates(self, key: str, preferred_zone: str | None = None) -> list[str]:
--- a/src/hollowrack/replication/replica.py
+++ b/src/hollowrack/replication/replica.py
@@ -20,18 +20,18 @@
 from hollowrack.replication.messages import (
     Accepted,
     Append,
-    Canvass,
     Fetch,
     NeedSync,
     Prepare,
+    PreVote,
+    PreVoteGranted,
     Promise,
     Reject,
     ReplicaMessage,
     Snapshot,
     Suffix,
-    Support,
     Sync,
-    TakeOver,
+    TimeoutNow,
 )
 from hollowrack.replication.storage import (
     Adopted,
@@ -208,9 +208,9 @@
                 self._step_down()
                 self._reset_election_timeout()
         elif now_s >= self._election_deadline_s:
-            self.canvass()
+            self.start_pre_vote()
 
-    def canvass(self) -> None:
+    def start_pre_vote(self) -> None:
         """Start a pre-vote; a partitioned replica cannot then disrupt the group by elections."""
         self._reset_election_timeout()
         ballot = self._next_ballot()
@@ -218,26 +218,26 @@
             return
         self.leader = None
         self._pre_votes = {self.id}
-        for voter in sorted(self.membership.electors() - {self.id}):
-            self._send(voter, Canvass(ballot))
+        for voter in sorted(self.membership.voters() - {self.id}):
+            self._send(voter, PreVote(ballot))
         self._finish_pre_vote()
 
-    def _on_pre_vote(self, sender: ReplicaId, message: Canvass) -> None:
+    def _on_pre_vote(self, sender: ReplicaId, message: PreVote) -> None:
         has_active_leader = self._now_s - self._last_leader_message_s < ELECTION_TIMEOUT_MIN_S
         if (
             message.ballot > self.promised
             and not has_active_leader
             and self.role is not Role.LEADER
         ):
-            self._send(sender, Support(message.ballot))
+            self._send(sender, PreVoteGranted(message.ballot))
 
-    def _on_pre_vote_granted(self, sender: ReplicaId, message: Support) -> None:
+    def _on_pre_vote_granted(self, sender: ReplicaId, message: PreVoteGranted) -> None:
         if self._pre_votes and message.ballot == self._next_ballot():
             self._pre_votes.add(sender)
             self._finish_pre_vote()
 
     def _finish_pre_vote(self) -> None:
-        if self.membership.elects(self._pre_votes):
+        if self.membership.has_election_quorum(self._pre_votes):
             self.start_election()
 
     def _next_ballot(self) -> Ballot | None:
@@ -259,7 +259,7 @@
         self.role = Role.CANDIDATE
         self.leader = None
         self._promises = {self.id: self._own_promise(ballot)}
-        for voter in sorted(self.membership.electors() - {self.id}):
+        for voter in sorted(self.membership.voters() - {self.id}):
             self._send(voter, Prepare(ballot, self.membership))
         self._finish_phase_one()
 
@@ -271,9 +271,9 @@
         self._step_down()
         self._election_deadline_s = self._now_s + 2 * ELECTION_TIMEOUT_MAX_S
         if ranked:
-            self._send(ranked[-1], TakeOver(self.promised))
+            self._send(ranked[-1], TimeoutNow(self.promised))
 
-    def _on_timeout_now(self, message: TakeOver) -> None:
+    def _on_timeout_now(self, message: TimeoutNow) -> None:
         if message.ballot == self.promised:
             self.start_election()
 
@@ -304,11 +304,11 @@
                 self._on_accepted(sender, message)
             case NeedSync():
                 self._on_need_sync(sender, message)
-            case TakeOver():
+            case TimeoutNow():
                 self._on_timeout_now(message)
-            case Canvass():
+            case PreVote():
                 self._on_pre_vote(sender, message)
-            case Support():
+            case PreVoteGranted():
                 self._on_pre_vote_granted(sender, message)
 
     @property
@@ -349,7 +349,7 @@
         self._finish_phase_one()
 
     def _finish_phase_one(self) -> None:
-        if not self.membership.elects(set(self._promises)):
+        if not self.membership.has_election_quorum(set(self._promises)):
             return
         best = max(
             self._promises,
