--- a/src/hollowrack/membership/swim.py
+++ b/src/hollowrack/membership/swim.py
@@ -106,8 +106,8 @@
     """Membership protocol of one node.
 
     Outgoing datagrams are collected in ``outbox``, status changes in ``changes``, raised facts in
-    ``risen_facts`` and peers for a full-state exchange in ``exchange_with``; the caller drains them
-    after each call. The exchanges repair updates that were lost, for example in a partition.
+    ``raised_facts`` and peers for a full-state exchange in ``exchange_peers``; the caller drains
+    them after each call. The exchanges restore updates that were lost, for example in a partition.
 
     Args:
         own: Member entry of this node.
--- a/src/hollowrack/replication/host.py
+++ b/src/hollowrack/replication/host.py
@@ -263,7 +263,7 @@
         self._fail_proposals(hosted, problem)
 
     def _fail_proposals(self, hosted: HostedGroup, problem: Problem) -> None:
-        waiting, hosted.pending_proposals = hosted.pending_proposals, {}
-        for future in waiting.values():
+        proposals, hosted.pending_proposals = hosted.pending_proposals, {}
+        for future in proposals.values():
             if not future.done():
                 future.set_exception(ProblemError(problem))
