--- a/src/hollowrack/messages/__init__.py
+++ b/src/hollowrack/messages/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages between nodes, their encoding and their transport."""
+"""Typed messages between nodes: registration, encoding and transport."""
--- a/src/hollowrack/messages/codec.py
+++ b/src/hollowrack/messages/codec.py
@@ -1,9 +1,9 @@
-"""Encoding of typed messages as CBOR.
+"""CBOR codec of typed messages.
 
-A message is a frozen dataclass registered under a short name with :func:`message`. On the wire it
-is the CBOR array ``[wire_version, name, body]`` where ``body`` maps field names to values.
-Decoding validates every field against the dataclass's type hints, so a malformed message becomes a
-:class:`~hollowrack.results.Problem` and never a partly filled object.
+A message is a frozen dataclass that :func:`message` registers under a short name. On the wire it
+is the CBOR array ``[wire_version, name, body]``, where ``body`` maps field names to values.
+Decoding validates every field against the dataclass's type hints; a malformed message yields a
+:class:`~hollowrack.results.Problem`.
 """
 
 from collections.abc import Callable
@@ -27,15 +27,15 @@
 
 
 def message(name: str) -> Callable[[MessageType], MessageType]:
-    """Register a frozen dataclass as a message called ``name``.
+    """Return a class decorator that registers a frozen dataclass as the message ``name``.
 
     Raises:
-        ValueError: If the name is taken, which is a programming error.
+        ValueError: If another message is registered under the name.
     """
 
     def register(message_type: MessageType) -> MessageType:
         if name in _types_by_name:
-            raise ValueError(f"message name {name!r} is taken")
+            raise ValueError(f"message name {name!r} is already registered")
         _types_by_name[name] = message_type
         _names_by_type[message_type] = name
         return message_type
@@ -44,7 +44,7 @@
 
 
 def _adapter(message_type: type) -> TypeAdapter[Any]:
-    # Built on first use: fields may refer to message types that are declared later.
+    # Created on first use: fields may refer to message types that are defined later.
     adapter = _adapters.get(message_type)
     if adapter is None:
         adapter = TypeAdapter(message_type)
@@ -56,7 +56,7 @@
     """Encode a registered message.
 
     Raises:
-        KeyError: If the type of ``value`` was never registered.
+        KeyError: If the type of ``value`` is not registered.
     """
     name = _names_by_type[type(value)]
     body = _adapter(type(value)).dump_python(value)
@@ -65,17 +65,20 @@
 
 def _encode_enum(encoder: Any, value: object) -> None:
     if not isinstance(value, Enum):
-        raise TypeError(f"{type(value).__name__} cannot be part of a message")
+        raise TypeError(f"cannot encode a value of type {type(value).__name__} in a message")
     encoder.encode(value.value)
 
 
 def registered_types() -> tuple[type, ...]:
-    """Return all message types, for tests that every one of them can travel."""
+    """Return all registered message types, in the order of their registration."""
     return tuple(_names_by_type)
 
 
 def decode(data: bytes) -> Result[Any, Problem]:
-    """Decode a message, or say what is wrong with it (``MESSAGE_INVALID``)."""
+    """Decode a message.
+
+    Fails with ``MESSAGE_INVALID``; the problem's place is the envelope's part or the field.
+    """
     try:
         envelope = cbor2.loads(data)
     except (cbor2.CBORDecodeError, ValueError, EOFError, OverflowError, RecursionError) as error:
--- a/src/hollowrack/messages/dispatch.py
+++ b/src/hollowrack/messages/dispatch.py
@@ -1,4 +1,4 @@
-"""Maps each message type to the part of the node that handles it."""
+"""Dispatcher: calls the handler that is registered for the type of a message."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -14,11 +14,11 @@
 @message("received")
 @dataclass(frozen=True)
 class Received:
-    """Answer to a message that needs none."""
+    """Answer to a message whose handler returns no data."""
 
 
 class Dispatcher:
-    """Routes incoming messages by type."""
+    """Calls the handler of an incoming message, by the message's type."""
 
     def __init__(self) -> None:
         self._handlers: dict[type, AsyncHandler] = {}
@@ -26,11 +26,14 @@
     def on(
         self, message_type: type[Request], handler: Callable[[Request], Awaitable[object]]
     ) -> None:
-        """Register the handler of a message type; its return value is the answer."""
+        """Register the async handler of a message type; its return value is the answer."""
         self._handlers[message_type] = handler
 
     def on_sync(self, message_type: type[Request], handler: Callable[[Request], object]) -> None:
-        """Register a handler that needs no waiting; ``None`` is answered with ``Received``."""
+        """Register the synchronous handler of a message type.
+
+        Its return value is the answer; ``None`` is answered with :class:`Received`.
+        """
 
         async def handle(request: Request) -> object:
             answer = handler(request)
@@ -39,10 +42,10 @@
         self._handlers[message_type] = handle
 
     async def handle(self, request: object) -> object:
-        """Handle one message.
+        """Call the handler of a message and return the answer.
 
         Raises:
-            ProblemError: ``MESSAGE_INVALID`` if no part of this node handles the type.
+            ProblemError: ``MESSAGE_INVALID`` if no handler is registered for the type.
         """
         handler = self._handlers.get(type(request))
         if handler is None:
--- a/src/hollowrack/messages/idle_connections.py
+++ b/src/hollowrack/messages/idle_connections.py
@@ -1,8 +1,8 @@
-"""Kept connections of an HTTP client that fall silent together.
+"""Closes the idle connections of an HTTP client to a peer that has stopped responding.
 
-A connection may be dead without a sign: what is sent over it gets no answer until a time-out. The
-others that were kept to the same peer at that time have most likely gone the same way, and each of
-them would cost a caller one more time-out.
+A keep-alive connection can be lost without a FIN or RST, so that a request over it gets no answer
+until its timeout. Other idle connections to the same peer are most likely lost as well, and each
+would cost one more timeout.
 """
 
 import asyncio
@@ -14,34 +14,33 @@
 from absl import logging
 from yarl import URL
 
-# Peers are milliseconds apart, and no caller waits less than a quarter of a second for an answer.
-# Silence for that long beyond what the answer may take shows that the
-# connection is dead or the peer is overloaded; the price of a mistake is a new connection.
+# Well above the round trip between peers and below the shortest timeout of a caller (0.25 s).
+# Closing a live connection by mistake costs one reconnect.
 MIN_SILENCE_S = 0.2
 
 
 class PeerConnector(aiohttp.TCPConnector):
-    """Connections that can be dropped by peer."""
+    """TCP connector that can close its idle connections to one peer."""
 
     def drop_idle(self, url: URL, since_s: float) -> int:
-        """Close the idle connections to a peer that have not been used since a time.
+        """Close the idle connections to a peer that were last used before a time.
 
         Args:
-            url: Any address at the peer.
-            since_s: The time, on the clock of the client library (``time.monotonic``).
+            url: Any URL of the peer; only host and port matter.
+            since_s: Time on the connector's clock (``time.monotonic``), in seconds.
 
         Returns:
-            How many were closed.
+            Number of connections closed.
         """
         num_closed = 0
-        for key, kept in list(self._conns.items()):
+        for key, idle in list(self._conns.items()):
             if (key.host, key.port) != (url.host, url.port):
                 continue
-            unused = [entry for entry in kept if entry[1] < since_s]
+            unused = [entry for entry in idle if entry[1] < since_s]
             for entry in unused:
-                kept.remove(entry)
+                idle.remove(entry)
                 entry[0].close()
-            if not kept:
+            if not idle:
                 del self._conns[key]
             num_closed += len(unused)
         return num_closed
@@ -51,15 +50,17 @@
 def noticing_silence(
     session: aiohttp.ClientSession, url: URL | str, quiet_s: float = 0.0
 ) -> Iterator[None]:
-    """Drop the idle connections to a peer if a request to it is given up without an answer.
+    """Close the idle connections to a peer if a request to it times out or is cancelled.
 
-    Connections that were used after the request was sent are sound, and stay. A request that had
-    a new connection drops none: there was no idle one, or it would have had that.
+    Connections that were used after the request was sent are known to work and are kept. A request
+    over a new connection closes none, since the peer had no idle connection then.
 
     Args:
-        session: The session, with a :class:`PeerConnector`; nothing is dropped with another one.
-        url: Where the request goes.
-        quiet_s: How long the peer may take by agreement, in seconds.
+        session: Session of the request; has no effect unless its connector is a
+            :class:`PeerConnector`.
+        url: URL of the request.
+        quiet_s: Time that the peer may take to answer by protocol, in seconds. Connections are
+            closed only if ``MIN_SILENCE_S`` more have passed.
     """
     sent_s = time.monotonic()
     try:
@@ -77,7 +78,7 @@
     num_closed = connector.drop_idle(url, sent_s)
     if num_closed:
         logging.info(
-            "%s:%s is silent for %.2f s: %d idle connections to it closed",
+            "%s:%s has not responded for %.2f s: closed %d idle connections to it",
             url.host,
             url.port,
             time.monotonic() - sent_s,
--- a/src/hollowrack/messages/node_http.py
+++ b/src/hollowrack/messages/node_http.py
@@ -1,4 +1,4 @@
-"""Typed messages between nodes over HTTP: one question and one answer, both as CBOR."""
+"""Typed messages between nodes over HTTP: request and answer are CBOR bodies of a POST."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -12,45 +12,48 @@
 from hollowrack.messages.idle_connections import MIN_SILENCE_S, noticing_silence
 from hollowrack.results import DESCRIPTIONS, ResultCode
 
-# Nodes are a few milliseconds apart; one that is gone or cut off does not answer at all.
+# Many times the round trip between nodes; a partitioned node never completes the handshake.
 CONNECT_TIMEOUT_S = 0.3
 MEDIA_TYPE = "application/cbor"
 
 
 class NodeUnreachableError(Exception):
-    """No connection was made: the node has not seen the question."""
+    """No connection was established, so the node has not received the request."""
 
 
 class NodeSilentError(Exception):
-    """No answer came in time or whole: what the node did is unknown."""
+    """No complete answer arrived in time.
+
+    Whether the node has handled the request is unknown.
+    """
 
 
 async def ask_node(
     session: aiohttp.ClientSession, address: str, path: str, question: object, timeout_s: float
 ) -> Any:
-    """Send a message to a node and return the message that it answers.
+    """Send a message to a node and return the answer.
 
     Args:
-        session: HTTP session for nodes.
+        session: HTTP session for requests between nodes.
         address: ``IP:PORT`` of the node.
-        path: Path of the question.
+        path: Path of the route that handles the message.
         question: A registered message.
-        timeout_s: Longest wait for the whole answer, in seconds.
+        timeout_s: Timeout of the whole call, in seconds.
 
     Returns:
-        The answer; ``None`` if it is no message.
+        The decoded answer; ``None`` if the body is not a valid message.
 
     Raises:
-        NodeUnreachableError: If the question was not sent.
-        NodeSilentError: If it may have been sent and no whole answer came.
+        NodeUnreachableError: If the request was not sent.
+        NodeSilentError: If the request may have been sent and no complete answer arrived.
     """
     timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=CONNECT_TIMEOUT_S)
     body = codec.encode(question)
     url = f"http://{address}{path}"
-    # The node may take nearly all of the time: only the time-out itself shows that it is silent.
-    quiet_s = timeout_s - MIN_SILENCE_S
+    # The node may use the whole timeout; connections are closed only when it expires.
+    expected_wait_s = timeout_s - MIN_SILENCE_S
     try:
-        with noticing_silence(session, url, quiet_s):
+        with noticing_silence(session, url, expected_wait_s):
             async with session.post(url, data=body, timeout=timeout) as response:
                 return codec.decode(await response.read()).value_or(None)
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
@@ -62,23 +65,23 @@
 def question_route(
     path: str, kinds: tuple[type, ...], answer: Callable[[Any], Awaitable[object]]
 ) -> Route:
-    """Return a route that answers other nodes' questions.
+    """Return a route that handles messages of other nodes.
 
-    Anything but a message of these kinds is refused with ``MESSAGE_INVALID``.
+    A body that is not a message of these types is rejected with ``MESSAGE_INVALID``.
 
     Args:
-        path: Path of the questions.
-        kinds: Types of messages that are answered.
-        answer: Returns the answer, a registered message.
+        path: Path of the route.
+        kinds: Types of messages that the route accepts.
+        answer: Handles a message and returns the answer, a registered message.
     """
 
-    async def take(request: Request) -> Response:
-        question = codec.decode(await request.body()).value_or(None)
-        if not isinstance(question, kinds):
+    async def handle(request: Request) -> Response:
+        message = codec.decode(await request.body()).value_or(None)
+        if not isinstance(message, kinds):
             expected = " or ".join(kind.__name__ for kind in kinds)
             detail = f"[{int(ResultCode.MESSAGE_INVALID)}] expected {expected}"
             status = DESCRIPTIONS[ResultCode.MESSAGE_INVALID].http_status
             return Response(detail, status_code=status)
-        return Response(codec.encode(await answer(question)), media_type=MEDIA_TYPE)
+        return Response(codec.encode(await answer(message)), media_type=MEDIA_TYPE)
 
-    return Route(path, take, methods=["POST"])
+    return Route(path, handle, methods=["POST"])
--- a/src/hollowrack/messages/transport.py
+++ b/src/hollowrack/messages/transport.py
@@ -1,8 +1,8 @@
-"""Request and answer messages between nodes over TCP, authenticated with the cluster key.
+"""Transport of messages between nodes over TCP, authenticated with the cluster key.
 
-Each side sends a random challenge; both prove the cluster key with a keyed hash over both
-challenges. The frames that follow carry a keyed hash over a running number and the payload, so a
-frame can be neither forged, replayed nor dropped unseen within a connection.
+Handshake: each side sends a random challenge and proves that it knows the cluster key with a keyed
+hash over both challenges. Every frame carries a keyed hash over its sequence number and payload, so
+forged, replayed and missing frames are detected within a connection.
 
 Frame: 4-byte length, 16-byte tag, payload. Payload: CBOR ``[correlation_id, kind, message]``.
 """
@@ -37,7 +37,7 @@
 
 
 class FrameKind(IntEnum):
-    """What a frame's payload is."""
+    """Kind of a frame's payload."""
 
     REQUEST = 0
     ANSWER = 1
@@ -46,13 +46,13 @@
 
 
 class SecureChannel:
-    """One authenticated connection; encodes and checks frames.
+    """Authenticated connection that sends and verifies frames.
 
     Args:
-        reader: Stream to read from, past the handshake.
-        writer: Stream to write to.
-        send_key: Key of the frames this side sends.
-        receive_key: Key of the frames the other side sends.
+        reader: Input stream, after the handshake.
+        writer: Output stream.
+        send_key: Authenticates the frames that this side sends.
+        receive_key: Authenticates the frames that the other side sends.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self._num_received = 0
 
     async def send(self, correlation_id: int, kind: FrameKind, body: bytes) -> None:
-        """Send one frame and wait until the socket's buffer has room."""
+        """Send one frame and wait until the write buffer has room."""
         payload = cbor2.dumps([correlation_id, int(kind), body])
         tag = _tag(self._send_key, self._num_sent, payload)
         self._num_sent += 1
@@ -81,23 +81,23 @@
         """Receive one frame as ``(correlation_id, kind, body)``.
 
         Raises:
-            ProblemError: ``MESSAGE_INVALID`` for a frame that is too long, forged or malformed.
-            asyncio.IncompleteReadError: If the connection ended.
+            ProblemError: ``MESSAGE_INVALID`` if the frame is too long, malformed or not authentic.
+            asyncio.IncompleteReadError: If the connection was closed.
         """
         header = await self._reader.readexactly(_LENGTH.size + _TAG_BYTES)
         (length,) = _LENGTH.unpack_from(header)
         if length > MAX_FRAME_BYTES:
-            raise _invalid(f"frame of {length} bytes is over {MAX_FRAME_BYTES}")
+            raise _invalid(f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")
         payload = await self._reader.readexactly(length)
         expected = _tag(self._receive_key, self._num_received, payload)
         self._num_received += 1
         if not hmac.compare_digest(expected, header[_LENGTH.size :]):
-            raise _invalid("frame tag does not match")
+            raise _invalid("frame authentication tag does not match")
         try:
             correlation_id, kind, body = cbor2.loads(payload)
             return int(correlation_id), FrameKind(kind), bytes(body)
         except (cbor2.CBORDecodeError, ValueError, TypeError) as error:
-            raise _invalid(f"frame payload: {error}") from error
+            raise _invalid(f"malformed frame payload: {error}") from error
 
     def close(self) -> None:
         """Close the connection without waiting."""
@@ -108,8 +108,8 @@
     return ProblemError(Problem(ResultCode.MESSAGE_INVALID, detail, "frame"))
 
 
-def _tag(key: bytes, number: int, payload: bytes) -> bytes:
-    digest = hashlib.blake2b(_SEQUENCE.pack(number), key=key, digest_size=_TAG_BYTES)
+def _tag(key: bytes, sequence: int, payload: bytes) -> bytes:
+    digest = hashlib.blake2b(_SEQUENCE.pack(sequence), key=key, digest_size=_TAG_BYTES)
     digest.update(payload)
     return digest.digest()
 
@@ -124,22 +124,27 @@
     cluster_key: bytes,
     is_client: bool,
 ) -> SecureChannel:
-    own = os.urandom(_CHALLENGE_BYTES)
-    writer.write(own)
+    own_challenge = os.urandom(_CHALLENGE_BYTES)
+    writer.write(own_challenge)
     await writer.drain()
-    other = await reader.readexactly(_CHALLENGE_BYTES)
-    client, server = (own, other) if is_client else (other, own)
+    peer_challenge = await reader.readexactly(_CHALLENGE_BYTES)
+    client, server = (
+        (own_challenge, peer_challenge) if is_client else (peer_challenge, own_challenge)
+    )
     client_proof = _derive(cluster_key, b"client-proof", client, server)
     server_proof = _derive(cluster_key, b"server-proof", client, server)
-    own_proof, other_proof = (
+    own_proof, peer_proof = (
         (client_proof, server_proof) if is_client else (server_proof, client_proof)
     )
     writer.write(own_proof)
     await writer.drain()
-    received = await reader.readexactly(len(other_proof))
-    if not hmac.compare_digest(received, other_proof):
+    received = await reader.readexactly(len(peer_proof))
+    if not hmac.compare_digest(received, peer_proof):
         raise ProblemError(
-            Problem(ResultCode.PEER_UNAUTHENTICATED, "the peer's proof does not match")
+            Problem(
+                ResultCode.PEER_UNAUTHENTICATED,
+                "the peer's proof of the cluster key does not match",
+            )
         )
     client_key = _derive(cluster_key, b"client-frames", client, server)
     server_key = _derive(cluster_key, b"server-frames", client, server)
@@ -148,12 +153,15 @@
 
 
 class PeerServer:
-    """Accepts connections of other nodes and answers their requests.
+    """Server that accepts connections of other nodes and answers their requests.
 
     Args:
-        cluster_key: The key shared by all nodes.
+        cluster_key: Key shared by all nodes.
         handler: Called with each decoded message; returns the answer message, or raises
             :class:`~hollowrack.results.ProblemError` to answer with a problem.
+
+    Attributes:
+        num_rejected: Connections closed after a failed handshake or an invalid frame.
     """
 
     def __init__(self, cluster_key: bytes, handler: Handler) -> None:
@@ -165,7 +173,7 @@
         self.num_rejected = 0
 
     async def start(self, host: str, port: int) -> int:
-        """Listen on ``host:port`` and return the bound port.
+        """Start listening on ``host:port`` and return the bound port.
 
         Raises:
             ProblemError: ``ADDRESS_UNAVAILABLE`` if the address cannot be bound.
@@ -181,7 +189,7 @@
         return bound_port
 
     async def stop(self) -> None:
-        """Stop accepting and close all connections."""
+        """Stop listening, close all connections and cancel the requests in progress."""
         if self._server is not None:
             self._server.close()
         for channel in list(self._channels):
@@ -202,7 +210,7 @@
             await self._serve_frames(channel)
         except ProblemError as error:
             self.num_rejected += 1
-            logging.warning("closing peer connection: %s", error)
+            logging.warning("closing the connection of a peer after an invalid frame: %s", error)
         except (OSError, asyncio.IncompleteReadError):
             pass
         finally:
@@ -225,8 +233,8 @@
         except ProblemError as error:
             reply_kind, reply = FrameKind.PROBLEM, _encode_problem(error.problem)
         except Exception:
-            # A fault of the program must not leave the peer waiting for its time-out.
-            logging.exception("request of a peer failed")
+            # Without an answer, the peer would wait until its timeout.
+            logging.exception("the handler of a peer's request failed")
             problem = Problem(ResultCode.INTERNAL_ERROR, "the request failed at the peer")
             reply_kind, reply = FrameKind.PROBLEM, _encode_problem(problem)
         if kind is FrameKind.ONE_WAY:
@@ -234,7 +242,7 @@
         try:
             await channel.send(correlation_id, reply_kind, reply)
         except OSError:
-            logging.debug("peer connection closed before its answer was sent")
+            logging.debug("the connection of a peer was closed before the answer was sent")
 
 
 def _encode_problem(problem: Problem) -> bytes:
@@ -247,11 +255,11 @@
 
 
 class PeerConnection:
-    """A connection to one other node, opened on demand and shared by all requests to it.
+    """Client connection to one other node, opened on demand and shared by all requests to it.
 
     Args:
-        address: ``(host, port)`` of the peer's node listener.
-        cluster_key: The key shared by all nodes.
+        address: ``(host, port)`` of the peer's listener for nodes.
+        cluster_key: Key shared by all nodes.
     """
 
     def __init__(self, address: tuple[str, int], cluster_key: bytes) -> None:
@@ -266,8 +274,8 @@
     async def request(self, message: object, timeout_s: float) -> Result[Any, Problem]:
         """Send a message and return the peer's answer.
 
-        ``PEER_UNREACHABLE`` is returned when there is no answer within ``timeout_s`` seconds; the
-        peer may have handled the message all the same.
+        Fails with ``PEER_UNREACHABLE`` if no answer arrives within ``timeout_s`` seconds; the peer
+        may still have handled the message.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -289,7 +297,7 @@
             return Failure(error.problem)
 
     async def send(self, message: object) -> None:
-        """Send a message that needs no answer; it may be lost without notice."""
+        """Send a message without an answer; failures are not reported."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 channel = await self._connected()
@@ -298,7 +306,7 @@
             self._drop()
 
     async def close(self) -> None:
-        """Close the connection; pending requests fail as unreachable."""
+        """Close the connection; pending requests fail with ``PEER_UNREACHABLE``."""
         task = self._reader_task
         self._drop()
         if task is not None:
@@ -329,7 +337,7 @@
                 correlation_id, kind, body = await channel.receive()
                 future = self._pending.pop(correlation_id, None)
                 if future is None or future.done():
-                    continue  # A late answer: its request was given up.
+                    continue  # The request has timed out or was cancelled.
                 if kind is FrameKind.PROBLEM:
                     future.set_result(Failure(_decode_problem(body)))
                 else:
