--- a/src/hollowrack/cli/__init__.py
+++ b/src/hollowrack/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""Command-line interface for operators."""
--- a/src/hollowrack/cli/bundle_commands.py
+++ b/src/hollowrack/cli/bundle_commands.py
@@ -1,4 +1,4 @@
-"""``hollowrack bundle ...``: check, sign and propose bundles."""
+"""Commands ``hollowrack bundle ...``: check, sign and propose bundles."""
 
 import base64
 import json
@@ -17,7 +17,7 @@
 from hollowrack.cli.output import exit_with_problem
 from hollowrack.results import Problem, ResultCode
 
-_operator = click.option(
+_operator_option = click.option(
     "--operator", required=True, metavar="URL", help="A node's operators' listener."
 )
 
@@ -31,10 +31,10 @@
 @click.argument("bundle_file", type=click.Path(path_type=Path))
 def check(bundle_file: Path) -> None:
     """Check a bundle file (TOML)."""
-    checked = _read_bundle(bundle_file)
-    if isinstance(checked, Failure):
-        exit_with_problem(checked.failure())
-    click.echo(f"{bundle_file}: revision {checked.unwrap().revision} is valid")
+    parsed = _read_bundle(bundle_file)
+    if isinstance(parsed, Failure):
+        exit_with_problem(parsed.failure())
+    click.echo(f"{bundle_file}: revision {parsed.unwrap().revision} is valid")
 
 
 @bundle.command()
@@ -42,14 +42,14 @@
 @click.option("--signer", required=True, help="Name of the key in the nodes' trusted_signers.")
 @click.option("--key", "key_file", required=True, type=click.Path(path_type=Path))
 def sign(bundle_file: Path, signer: str, key_file: Path) -> None:
-    """Sign a bundle file; the signed bundle is printed as JSON."""
-    checked = _read_bundle(bundle_file)
-    if isinstance(checked, Failure):
-        exit_with_problem(checked.failure())
+    """Sign a bundle file and print the signed bundle as JSON."""
+    parsed = _read_bundle(bundle_file)
+    if isinstance(parsed, Failure):
+        exit_with_problem(parsed.failure())
     key = _read_signing_key(key_file)
     if isinstance(key, Failure):
         exit_with_problem(key.failure())
-    signed = sign_bundle(checked.unwrap(), signer, key.unwrap())
+    signed = sign_bundle(parsed.unwrap(), signer, key.unwrap())
     body = {
         "document": base64.b64encode(signed.document).decode(),
         "signer": signed.signer,
@@ -60,9 +60,9 @@
 
 @bundle.command()
 @click.argument("signed_file", type=click.Path(path_type=Path))
-@_operator
+@_operator_option
 def propose(signed_file: Path, operator: str) -> None:
-    """Propose a signed bundle; it is accepted once and for all, or refused with a code."""
+    """Propose a signed bundle; prints its revision, or the error if it is rejected."""
     try:
         body: Any = json.loads(signed_file.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
--- a/src/hollowrack/cli/commands.py
+++ b/src/hollowrack/cli/commands.py
@@ -1,4 +1,4 @@
-"""The root of the command line and the commands of one node."""
+"""Root command ``hollowrack`` and its subcommands ``node`` and ``codes``."""
 
 import asyncio
 import signal
@@ -45,9 +45,9 @@
     help="Override a key, for example --set listeners.callers=127.0.0.1:8000.",
 )
 def node(settings_file: Path, overrides: tuple[str, ...]) -> None:
-    """Run one node until SIGTERM or SIGINT, which start a planned stop."""
-    pairs = dict(entry.partition("=")[::2] for entry in overrides)
-    checked = read_settings(settings_file, pairs).bind(check_environment)
+    """Run one node until SIGTERM or SIGINT, which start a graceful shutdown."""
+    override_values = dict(entry.partition("=")[::2] for entry in overrides)
+    checked = read_settings(settings_file, override_values).bind(check_environment)
     if isinstance(checked, Failure):
         exit_with_problem(checked.failure())
     problem = run_on_boot_time(_run_node(checked.unwrap()))
@@ -55,16 +55,16 @@
         exit_with_problem(problem)
 
 
-async def _run_node(checked: NodeSettings) -> Problem | None:
-    setup_logging(checked.logging, checked.node, checked.zone)
-    running = Node(checked)
+async def _run_node(node_settings: NodeSettings) -> Problem | None:
+    setup_logging(node_settings.logging, node_settings.node, node_settings.zone)
+    running = Node(node_settings)
     try:
         await running.start()
     except ProblemError as error:
         return error.problem
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, running.start_drain)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, running.start_drain)
     await running.drained.wait()
-    logging.info("node %s stopped", checked.node)
+    logging.info("node %s stopped", node_settings.node)
     return None
--- a/src/hollowrack/cli/fleet_commands.py
+++ b/src/hollowrack/cli/fleet_commands.py
@@ -1,4 +1,4 @@
-"""``hollowrack status``, ``explain`` and ``drain``: one node, or the fleet as it sees it."""
+"""Commands that inspect and control a running node: status, explain, retire and drain."""
 
 from dataclasses import asdict
 from datetime import UTC, datetime
@@ -14,10 +14,10 @@
 from hollowrack.observability.log_search import search_logs, wait_descriptions, worker_ids
 from hollowrack.results import Problem, ResultCode
 
-_operator = click.option(
+_operator_option = click.option(
     "--operator", required=True, metavar="URL", help="A node's operators' listener."
 )
-_as_json = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
+_json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 
 def _call(method: str, url: str, as_json: bool = False) -> Any:
@@ -28,16 +28,16 @@
 
 
 @click.command()
-@_operator
-@_as_json
+@_operator_option
+@_json_option
 def status(operator: str, as_json: bool) -> None:
-    """Show a node's status and the fleet as it sees it."""
+    """Show a node's status and its view of the fleet."""
     answer = _call("GET", f"{operator}/v1/status", as_json)
     if as_json:
         print_json(answer)
         return
-    simple = {name: value for name, value in answer.items() if not isinstance(value, dict)}
-    print_table(simple)
+    scalars = {name: value for name, value in answer.items() if not isinstance(value, dict)}
+    print_table(scalars)
     for section in ("members", "groups"):
         click.echo(f"\n{section}")
         print_table({f"  {name}": value for name, value in sorted(answer[section].items())})
@@ -59,11 +59,11 @@
     type=click.File(errors="replace"),
     help="A file of nodes' JSON logs, or - for standard input; may be repeated.",
 )
-@_as_json
+@_json_option
 def explain(subject: str, operator: str | None, logs: tuple[TextIO, ...], as_json: bool) -> None:
     """Show the decisions about a request, sample (RUN/STEP/PROMPT/INDEX), engine or step.
 
-    With --logs, what nodes' logs say about a request, item, job or worker instead.
+    With --logs, show the log lines about a request, item, job or worker instead.
     """
     if bool(operator) == bool(logs):
         detail = "give either --operator or --logs"
@@ -76,7 +76,7 @@
         print_json(records)
         return
     if not records:
-        click.echo(f"this node holds no decision about {subject}")
+        click.echo(f"this node has no recorded decision about {subject}")
     for record in records:
         at = datetime.fromtimestamp(record["at_s"], UTC).strftime("%H:%M:%S.%f")[:-3]
         inputs = " ".join(f"{name}={value}" for name, value in record["inputs"].items())
@@ -84,42 +84,42 @@
 
 
 def _explain_from_logs(subject: str, logs: tuple[TextIO, ...], as_json: bool) -> None:
-    account = search_logs(subject, chain.from_iterable(logs))
+    found = search_logs(subject, chain.from_iterable(logs))
     if as_json:
-        print_json(asdict(account))
+        print_json(asdict(found))
         return
-    if not account.about:
-        click.echo(f"no line is about {subject}")
-    for line in account.about:
+    if not found.about:
+        click.echo(f"no log line is about {subject}")
+    for line in found.about:
         click.echo(f"{line.time}  {line.node}  {line.message}")
-    waits = wait_descriptions(account.about)
+    waits = wait_descriptions(found.about)
     if waits:
         click.echo("\nwaits in order")
     for wait in waits:
         click.echo(f"  {wait}")
-    workers = worker_ids(account.about)
+    workers = worker_ids(found.about)
     if workers:
         click.echo(f"\nworkers named: {', '.join(workers)}")
-    if account.context:
-        click.echo("\nmeanwhile on these nodes")
-    for line in account.context:
+    if found.context:
+        click.echo("\nother events on these nodes")
+    for line in found.context:
         click.echo(f"{line.time}  {line.node}  {line.message}")
-    if account.num_unread:
-        click.echo(f"\n{account.num_unread} lines are no log lines of a node", err=True)
+    if found.num_unread:
+        click.echo(f"\n{found.num_unread} lines are not JSON log lines", err=True)
 
 
 @click.command()
 @click.argument("address")
-@_operator
+@_operator_option
 def retire(address: str, operator: str) -> None:
-    """Mark a back end as leaving: no node gives it new work from now on."""
+    """Mark a back end as leaving, so that no node sends it new work."""
     _call("POST", f"{operator}/v1/back-ends/{address}/leaving")
     click.echo(f"{address} is marked as leaving")
 
 
 @click.command()
-@_operator
+@_operator_option
 def drain(operator: str) -> None:
-    """Start a planned stop of a node; it finishes what it runs and exits."""
+    """Start a graceful shutdown of a node: it finishes its requests in progress and exits."""
     _call("POST", f"{operator}/v1/drain")
     click.echo("the node is draining")
--- a/src/hollowrack/cli/operator_client.py
+++ b/src/hollowrack/cli/operator_client.py
@@ -1,4 +1,4 @@
-"""Calls of the command line to a node's operators' listener."""
+"""HTTP client of the command line for a node's operators' listener."""
 
 import asyncio
 from typing import Any
@@ -9,11 +9,15 @@
 from hollowrack.results import Problem, ResultCode
 
 CALL_TIMEOUT_S = 15.0
-_FIRST_ERROR_STATUS = 400
+_MIN_ERROR_STATUS = 400
 
 
 def call_operator(method: str, url: str, body: object = None) -> Result[Any, Problem]:
-    """Call a node and return its JSON answer, or the problem it answered with."""
+    """Send a request to a node and return its JSON answer.
+
+    Fails with the problem that the node answered, or with ``PEER_UNREACHABLE`` if there is no valid
+    answer.
+    """
     return asyncio.run(_call(method, url, body))
 
 
@@ -25,16 +29,20 @@
             session.request(method, url, json=body) as response,
         ):
             answer = await response.json(content_type=None)
-            if response.status >= _FIRST_ERROR_STATUS:
-                return Failure(_problem_of(answer, url))
+            if response.status >= _MIN_ERROR_STATUS:
+                return Failure(_decode_problem(answer, url))
             return Success(answer)
     except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
         return Failure(Problem(ResultCode.PEER_UNREACHABLE, f"{error}.", url))
 
 
-def _problem_of(answer: Any, url: str) -> Problem:
+def _decode_problem(answer: Any, url: str) -> Problem:
     try:
         error = answer["error"]
         return Problem(ResultCode(error["code"]), error["detail"], error["place"])
     except (KeyError, TypeError, ValueError):
-        return Problem(ResultCode.PLATFORM_ANSWER_INVALID, "not an error of this system", url)
+        return Problem(
+            ResultCode.PLATFORM_ANSWER_INVALID,
+            "the answer is not an error of a hollowrack node",
+            url,
+        )
--- a/src/hollowrack/cli/settings_commands.py
+++ b/src/hollowrack/cli/settings_commands.py
@@ -1,4 +1,4 @@
-"""``hollowrack settings ...`` and ``hollowrack keys ...``."""
+"""Commands ``hollowrack settings ...`` and ``hollowrack keys ...``."""
 
 import secrets
 from pathlib import Path
@@ -13,7 +13,7 @@
 from hollowrack.settings.example import example_settings
 from hollowrack.settings.load import CLUSTER_KEY_BYTES, check_environment, read_settings
 
-_as_json = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
+_json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 
 @click.group()
@@ -23,9 +23,9 @@
 
 @settings.command()
 @click.argument("settings_file", type=click.Path(path_type=Path))
-@_as_json
+@_json_option
 def check(settings_file: Path, as_json: bool) -> None:
-    """Check a settings file, its key file, data folder and addresses."""
+    """Check a settings file, its key file, data directory and addresses."""
     checked = read_settings(settings_file).bind(check_environment)
     if isinstance(checked, Failure):
         exit_with_problem(checked.failure(), as_json)
@@ -49,7 +49,7 @@
 @keys.command()
 @click.argument("key_file", type=click.Path(path_type=Path))
 def cluster(key_file: Path) -> None:
-    """Write a new cluster key, the one that all nodes share."""
+    """Write a new cluster key, which all nodes share."""
     _write_key(key_file, (secrets.token_hex(CLUSTER_KEY_BYTES) + "\n").encode())
     click.echo(f"{key_file}: new cluster key")
 
@@ -57,7 +57,7 @@
 @keys.command()
 @click.argument("key_file", type=click.Path(path_type=Path))
 def signer(key_file: Path) -> None:
-    """Write a new bundle-signing key and print its public half for trusted_signers."""
+    """Write a new key for signing bundles and print the public key for trusted_signers."""
     key = generate_key()
     pem = key.private_bytes(
         serialization.Encoding.PEM,
--- a/src/hollowrack/settings/__init__.py
+++ b/src/hollowrack/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of a node: one TOML file, environment variables and command-line flags."""
+"""Settings of a node, from a TOML file, environment variables and command-line options."""
--- a/src/hollowrack/settings/example.py
+++ b/src/hollowrack/settings/example.py
@@ -1,4 +1,4 @@
-"""Generates the commented example settings file from the settings model."""
+"""Generates the example settings file, with comments, from the settings model."""
 
 from typing import Any, get_args, get_origin
 
@@ -26,28 +26,38 @@
 
 
 def example_settings() -> str:
-    """Return a complete settings file with a comment on every key."""
-    top: list[str] = []
+    """Return a settings file (TOML) that sets every key and has a comment on each."""
+    top_level: list[str] = []
     sections: list[str] = []
     for name, field in NodeSettings.model_fields.items():
         annotation: Any = field.annotation
         if isinstance(annotation, type) and issubclass(annotation, BaseModel):
-            sections += ["", f"# {field.description}", f"[{name}]", *_keys(annotation, f"{name}.")]
+            sections += [
+                "",
+                f"# {field.description}",
+                f"[{name}]",
+                *_section_lines(annotation, f"{name}."),
+            ]
         elif get_origin(annotation) is tuple and Peer in get_args(annotation):
-            sections += ["", f"# {field.description}", f"[[{name}]]", *_keys(Peer, f"{name}.")]
+            sections += [
+                "",
+                f"# {field.description}",
+                f"[[{name}]]",
+                *_section_lines(Peer, f"{name}."),
+            ]
         else:
-            top += _key(name, name, field.description, field.default)
-    return "\n".join(top + sections) + "\n"
+            top_level += _key_lines(name, name, field.description, field.default)
+    return "\n".join(top_level + sections) + "\n"
 
 
-def _keys(model: type[BaseModel], prefix: str) -> list[str]:
+def _section_lines(model: type[BaseModel], prefix: str) -> list[str]:
     lines: list[str] = []
     for name, field in model.model_fields.items():
-        lines += _key(name, prefix + name, field.description, field.default)
+        lines += _key_lines(name, prefix + name, field.description, field.default)
     return lines
 
 
-def _key(name: str, path: str, description: str | None, default: object) -> list[str]:
+def _key_lines(name: str, path: str, description: str | None, default: object) -> list[str]:
     value = _EXAMPLE_VALUES.get(path)
     if value is None:
         value = f'"{default}"' if isinstance(default, str) else str(default)
--- a/src/hollowrack/settings/load.py
+++ b/src/hollowrack/settings/load.py
@@ -1,4 +1,7 @@
-"""Reads and checks settings: file first, environment over it, flags over both."""
+"""Loads and validates the settings of a node.
+
+Precedence, highest first: command-line options, environment variables, the settings file.
+"""
 
 import os
 import socket
@@ -21,10 +24,15 @@
 def read_settings(
     path: Path, overrides: Mapping[str, Any] | None = None
 ) -> Result[NodeSettings, Problem]:
-    """Read a settings file, apply the environment and then ``overrides`` (dotted keys).
+    """Read a settings file, apply environment variables and overrides, and validate the result.
+
+    Args:
+        path: Path of the settings file.
+        overrides: Values by dotted key; they take precedence over the environment.
 
-    Fails with ``SETTINGS_UNREADABLE`` or ``SETTINGS_INVALID``; the problem's place is the file or
-    the key path.
+    Returns:
+        The settings. Fails with ``SETTINGS_UNREADABLE`` or ``SETTINGS_INVALID``; the problem's
+        place is the file, the dotted key or ``environment``.
     """
     try:
         values = tomllib.loads(path.read_text(encoding="utf-8"))
@@ -36,7 +44,7 @@
 def build_settings(
     values: dict[str, Any], overrides: Mapping[str, Any] | None = None
 ) -> Result[NodeSettings, Problem]:
-    """Check settings given as a mapping; see :func:`read_settings`."""
+    """Validate settings given as a mapping; see :func:`read_settings`."""
     try:
         merged = _merge(values, _environment_values())
         for key, value in (overrides or {}).items():
@@ -61,19 +69,22 @@
     return dict(value)
 
 
-def _merge(base: Mapping[str, Any], over: Mapping[str, Any]) -> dict[str, Any]:
+def _merge(base: Mapping[str, Any], overrides: Mapping[str, Any]) -> dict[str, Any]:
     merged = dict(base)
-    for key, value in over.items():
-        known = merged.get(key)
-        if isinstance(known, Mapping) and isinstance(value, Mapping):
-            merged[key] = _merge(known, value)
+    for key, value in overrides.items():
+        current = merged.get(key)
+        if isinstance(current, Mapping) and isinstance(value, Mapping):
+            merged[key] = _merge(current, value)
         else:
             merged[key] = value
     return merged
 
 
 def read_cluster_key(path: Path) -> Result[bytes, Problem]:
-    """Read the key shared by all nodes; fails with ``CLUSTER_KEY_INVALID``."""
+    """Read the key shared by all nodes from a file of hexadecimal digits.
+
+    Fails with ``CLUSTER_KEY_INVALID``.
+    """
     try:
         key = bytes.fromhex(path.read_text(encoding="ascii").strip())
     except (OSError, ValueError) as error:
@@ -88,7 +99,7 @@
 
 
 def check_environment(settings: NodeSettings) -> Result[NodeSettings, Problem]:
-    """Check what the settings name on this machine: key, data folder and listen addresses.
+    """Check the host's resources that the settings name: key file, data directory, addresses.
 
     Fails with ``CLUSTER_KEY_INVALID``, ``DATA_DIRECTORY_UNUSABLE`` or ``ADDRESS_UNAVAILABLE``.
     """
@@ -96,18 +107,21 @@
     if isinstance(key, Failure):
         return key
     if settings.data_dir is not None:
-        usable = check_data_directory(settings.data_dir)
-        if isinstance(usable, Failure):
-            return usable
+        directory = check_data_directory(settings.data_dir)
+        if isinstance(directory, Failure):
+            return directory
     for name, address in settings.listeners:
-        free = _check_address_free(f"listeners.{name}", address)
-        if isinstance(free, Failure):
-            return free
+        listener = _check_address_available(f"listeners.{name}", address)
+        if isinstance(listener, Failure):
+            return listener
     return Success(settings)
 
 
 def check_data_directory(path: Path) -> Result[Path, Problem]:
-    """Check that a folder exists and can be read and written."""
+    """Check that a directory exists and can be read and written.
+
+    Fails with ``DATA_DIRECTORY_UNUSABLE``.
+    """
     probe = path / f".probe-{uuid.uuid4().hex}"
     try:
         os.listdir(path)
@@ -119,7 +133,7 @@
     return Success(path)
 
 
-def _check_address_free(place: str, address: str) -> Result[None, Problem]:
+def _check_address_available(place: str, address: str) -> Result[None, Problem]:
     host, port = split_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     with socket.socket(family, socket.SOCK_STREAM) as probe:
