--- a/src/hollowrack/clients/engine.py
+++ b/src/hollowrack/clients/engine.py
@@ -165,13 +165,13 @@
     ) -> AbstractAsyncContextManager[AsyncIterator[list[TokenChunk]]]:
         """Start a generation; yields a stream of batches of chunks."""
 
-    async def state(self) -> Result[EngineState, Problem]:
+    async def read_state(self) -> Result[EngineState, Problem]:
         """Read the engine's control state."""
 
-    async def load(self) -> Result[EngineLoad, Problem]:
+    async def read_load(self) -> Result[EngineLoad, Problem]:
         """Read the engine's load report."""
 
-    async def cache_events(self, first_sequence: int) -> Result[CacheEvents, Problem]:
+    async def read_cache_events(self, first_sequence: int) -> Result[CacheEvents, Problem]:
         """Read the cache events from ``first_sequence`` on."""
 
     async def order_version(
@@ -225,14 +225,14 @@
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise StreamBrokenError(f"{type(error).__name__}: {error}") from error
 
-    async def state(self) -> Result[EngineState, Problem]:
+    async def read_state(self) -> Result[EngineState, Problem]:
         """Read the engine's control state."""
         answer = await request_json(
             self._session, "GET", f"{self._base_url}/control/state", CONTROL_TIMEOUT_S
         )
         return answer.bind(_decode_state)
 
-    async def load(self) -> Result[EngineLoad, Problem]:
+    async def read_load(self) -> Result[EngineLoad, Problem]:
         """Read the engine's load report from its Prometheus metrics."""
         timeout = aiohttp.ClientTimeout(total=METRICS_TIMEOUT_S)
         url = f"{self._base_url}/metrics"
@@ -243,7 +243,7 @@
             return Failure(Problem(ResultCode.PLATFORM_UNAVAILABLE, type(error).__name__, url))
         return _decode_load(text, url)
 
-    async def cache_events(self, first_sequence: int) -> Result[CacheEvents, Problem]:
+    async def read_cache_events(self, first_sequence: int) -> Result[CacheEvents, Problem]:
         """Read the cache events from ``first_sequence`` on.
 
         Events arrive with a delay, and some may be missing.
--- a/src/hollowrack/clients/service.py
+++ b/src/hollowrack/clients/service.py
@@ -53,7 +53,7 @@
     """The worker rejected the request without running it."""
 
 
-class ServiceBrokenError(Exception):
+class ServiceNoResponseError(Exception):
     """The request was sent, but no complete answer arrived; it may have run."""
 
 
@@ -66,7 +66,7 @@
         Raises:
             ServiceUnreachableError: If the request was not sent.
             ServiceRefusedError: If the worker did not run the request.
-            ServiceBrokenError: If the request may have run.
+            ServiceNoResponseError: If the request may have run.
         """
 
 
@@ -92,7 +92,7 @@
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             raise ServiceUnreachableError(str(error)) from error
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise ServiceBrokenError(f"{type(error).__name__}: {error}") from error
+            raise ServiceNoResponseError(f"{type(error).__name__}: {error}") from error
 
     async def _send(
         self, request: ServiceRequest, address: str, timeout_s: float
--- a/src/hollowrack/messages/idle_connections.py
+++ b/src/hollowrack/messages/idle_connections.py
@@ -22,12 +22,12 @@
 class PeerConnector(aiohttp.TCPConnector):
     """TCP connector that can close its idle connections to one peer."""
 
-    def drop_idle(self, url: URL, since_s: float) -> int:
+    def close_idle(self, url: URL, unused_since_s: float) -> int:
         """Close the idle connections to a peer that were last used before a time.
 
         Args:
             url: Any URL of the peer; only host and port matter.
-            since_s: Time on the connector's clock (``time.monotonic``), in seconds.
+            unused_since_s: Time on the connector's clock (``time.monotonic``), in seconds.
 
         Returns:
             Number of connections closed.
@@ -36,7 +36,7 @@
         for key, idle in list(self._conns.items()):
             if (key.host, key.port) != (url.host, url.port):
                 continue
-            unused = [entry for entry in idle if entry[1] < since_s]
+            unused = [entry for entry in idle if entry[1] < unused_since_s]
             for entry in unused:
                 idle.remove(entry)
                 entry[0].close()
@@ -47,8 +47,8 @@
 
 
 @contextmanager
-def noticing_silence(
-    session: aiohttp.ClientSession, url: URL | str, quiet_s: float = 0.0
+def close_idle_on_timeout(
+    session: aiohttp.ClientSession, url: URL | str, expected_wait_s: float = 0.0
 ) -> Iterator[None]:
     """Close the idle connections to a peer if a request to it times out or is cancelled.
 
@@ -59,14 +59,14 @@
         session: Session of the request; has no effect unless its connector is a
             :class:`PeerConnector`.
         url: URL of the request.
-        quiet_s: Time that the peer may take to answer by protocol, in seconds. Connections are
+        expected_wait_s: Time that the peer may take to answer by protocol, in seconds. Connections are
             closed only if ``MIN_SILENCE_S`` more have passed.
     """
     sent_s = time.monotonic()
     try:
         yield
     except (TimeoutError, asyncio.CancelledError):
-        if time.monotonic() - sent_s >= quiet_s + MIN_SILENCE_S:
+        if time.monotonic() - sent_s >= expected_wait_s + MIN_SILENCE_S:
             _drop_idle(session, URL(url), sent_s)
         raise
 
@@ -75,7 +75,7 @@
     connector = session.connector
     if not isinstance(connector, PeerConnector):
         return
-    num_closed = connector.drop_idle(url, sent_s)
+    num_closed = connector.close_idle(url, sent_s)
     if num_closed:
         logging.info(
             "%s:%s has not responded for %.2f s: closed %d idle connections to it",
--- a/src/hollowrack/messages/node_http.py
+++ b/src/hollowrack/messages/node_http.py
@@ -9,7 +9,7 @@
 from starlette.routing import Route
 
 from hollowrack.messages import codec
-from hollowrack.messages.idle_connections import MIN_SILENCE_S, noticing_silence
+from hollowrack.messages.idle_connections import MIN_SILENCE_S, close_idle_on_timeout
 from hollowrack.results import DESCRIPTIONS, ResultCode
 
 # Many times the round trip between nodes; a partitioned node never completes the handshake.
@@ -21,15 +21,15 @@
     """No connection was established, so the node has not received the request."""
 
 
-class NodeSilentError(Exception):
+class NodeNoResponseError(Exception):
     """No complete answer arrived in time.
 
     Whether the node has handled the request is unknown.
     """
 
 
-async def ask_node(
-    session: aiohttp.ClientSession, address: str, path: str, question: object, timeout_s: float
+async def call_node(
+    session: aiohttp.ClientSession, address: str, path: str, request: object, timeout_s: float
 ) -> Any:
     """Send a message to a node and return the answer.
 
@@ -37,7 +37,7 @@
         session: HTTP session for requests between nodes.
         address: ``IP:PORT`` of the node.
         path: Path of the route that handles the message.
-        question: A registered message.
+        request: A registered message.
         timeout_s: Timeout of the whole call, in seconds.
 
     Returns:
@@ -45,25 +45,25 @@
 
     Raises:
         NodeUnreachableError: If the request was not sent.
-        NodeSilentError: If the request may have been sent and no complete answer arrived.
+        NodeNoResponseError: If the request may have been sent and no complete answer arrived.
     """
     timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=CONNECT_TIMEOUT_S)
-    body = codec.encode(question)
+    body = codec.encode(request)
     url = f"http://{address}{path}"
     # The node may use the whole timeout; connections are closed only when it expires.
     expected_wait_s = timeout_s - MIN_SILENCE_S
     try:
-        with noticing_silence(session, url, expected_wait_s):
+        with close_idle_on_timeout(session, url, expected_wait_s):
             async with session.post(url, data=body, timeout=timeout) as response:
                 return codec.decode(await response.read()).value_or(None)
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
         raise NodeUnreachableError(type(error).__name__) from error
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
-        raise NodeSilentError(type(error).__name__) from error
+        raise NodeNoResponseError(type(error).__name__) from error
 
 
-def question_route(
-    path: str, kinds: tuple[type, ...], answer: Callable[[Any], Awaitable[object]]
+def message_route(
+    path: str, message_types: tuple[type, ...], handler: Callable[[Any], Awaitable[object]]
 ) -> Route:
     """Return a route that handles messages of other nodes.
 
@@ -71,17 +71,17 @@
 
     Args:
         path: Path of the route.
-        kinds: Types of messages that the route accepts.
-        answer: Handles a message and returns the answer, a registered message.
+        message_types: Types of messages that the route accepts.
+        handler: Handles a message and returns the answer, a registered message.
     """
 
     async def handle(request: Request) -> Response:
         message = codec.decode(await request.body()).value_or(None)
-        if not isinstance(message, kinds):
-            expected = " or ".join(kind.__name__ for kind in kinds)
+        if not isinstance(message, message_types):
+            expected = " or ".join(kind.__name__ for kind in message_types)
             detail = f"[{int(ResultCode.MESSAGE_INVALID)}] expected {expected}"
             status = DESCRIPTIONS[ResultCode.MESSAGE_INVALID].http_status
             return Response(detail, status_code=status)
-        return Response(codec.encode(await answer(message)), media_type=MEDIA_TYPE)
+        return Response(codec.encode(await handler(message)), media_type=MEDIA_TYPE)
 
     return Route(path, handle, methods=["POST"])
