--- a/src/hollowrack/messages/dispatch.py
+++ b/src/hollowrack/messages/dispatch.py
@@ -32,7 +32,7 @@
     def on_sync(self, message_type: type[Request], handler: Callable[[Request], object]) -> None:
         """Register the synchronous handler of a message type.
 
-        Its return value is the answer; ``None`` is answered with :class:`Received`.
+        Its return value is the answer; ``None`` is answered with :class:`Acknowledgement`.
         """
 
         async def handle(request: Request) -> object:
--- a/src/hollowrack/messages/idle_connections.py
+++ b/src/hollowrack/messages/idle_connections.py
@@ -59,19 +59,19 @@
         session: Session of the request; has no effect unless its connector is a
             :class:`PeerConnector`.
         url: URL of the request.
-        expected_wait_s: Time that the peer may take to answer by protocol, in seconds. Connections are
-            closed only if ``MIN_SILENCE_S`` more have passed.
+        expected_wait_s: Time that the peer may take to answer by protocol, in seconds. Connections
+            are closed only if at least ``MIN_SILENCE_S`` more have passed.
     """
     sent_s = time.monotonic()
     try:
         yield
     except (TimeoutError, asyncio.CancelledError):
         if time.monotonic() - sent_s >= expected_wait_s + MIN_SILENCE_S:
-            _drop_idle(session, URL(url), sent_s)
+            _close_idle(session, URL(url), sent_s)
         raise
 
 
-def _drop_idle(session: aiohttp.ClientSession, url: URL, sent_s: float) -> None:
+def _close_idle(session: aiohttp.ClientSession, url: URL, sent_s: float) -> None:
     connector = session.connector
     if not isinstance(connector, PeerConnector):
         return
