--- a/src/hollowrack_bench/baselines.py
+++ b/src/hollowrack_bench/baselines.py
@@ -1,4 +1,4 @@
-"""Other ways to choose a back end, to measure the product's choice against."""
+"""Baseline algorithms for choosing a back end, to compare the product's algorithm with."""
 
 import itertools
 import random
@@ -18,7 +18,7 @@
     prefixes: PrefixIndex,
     rng: random.Random,
 ) -> Result[RouteChoice, Problem]:
-    """Choose any back end."""
+    """Choose a random eligible back end."""
     del prefixes
     candidates = eligible(request, back_ends)
     if not candidates:
@@ -27,7 +27,7 @@
 
 
 class RoundRobin:
-    """Chooses the back ends in turn."""
+    """Chooses the eligible back ends in round-robin order."""
 
     def __init__(self) -> None:
         self._numbers = itertools.count()
@@ -39,7 +39,7 @@
         prefixes: PrefixIndex,
         rng: random.Random,
     ) -> Result[RouteChoice, Problem]:
-        """Choose the next back end."""
+        """Choose the next eligible back end by address."""
         del prefixes, rng
         candidates = sorted(eligible(request, back_ends), key=lambda entry: entry.address)
         if not candidates:
@@ -53,7 +53,7 @@
     prefixes: PrefixIndex,
     rng: random.Random,
 ) -> Result[RouteChoice, Problem]:
-    """Choose the back end with the least load in its last report."""
+    """Choose the back end with the lowest reported load per slot."""
     del prefixes
     candidates = eligible(request, back_ends)
     if not candidates:
@@ -64,7 +64,7 @@
 
 
 def all_choosers() -> dict[str, Chooser]:
-    """Return the product's choice and the baselines by name."""
+    """Return the product's algorithm and the baselines, by name."""
     return {
         "hollowrack": choose,
         "random": choose_random,
--- a/src/hollowrack_bench/capacity_page.py
+++ b/src/hollowrack_bench/capacity_page.py
@@ -1,4 +1,4 @@
-"""Renders ``docs/CAPACITY.md`` from the measured slopes."""
+"""Renderer of ``docs/CAPACITY.md`` from the measured slopes."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One role at the target size."""
+    """Table row: cost of one role at the target size."""
 
     role: str
     state: str
@@ -37,7 +37,7 @@
 
 
 def render_page(slopes: dict[str, Any]) -> str:
-    """Return the whole page; the same slopes give the same text."""
+    """Return the page as Markdown; the output is deterministic."""
     return "\n".join(
         [
             _INTRODUCTION,
--- a/src/hollowrack_bench/loopback_proxy.py
+++ b/src/hollowrack_bench/loopback_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback between two processes, which harms the connections that go through it."""
+"""TCP proxy on loopback that injects faults into the connections passing through it."""
 
 import asyncio
 import contextlib
@@ -19,31 +19,31 @@
 
 
 class LinkFault(Enum):
-    """What a proxy does to its connections.
+    """Faults that a proxy injects.
 
-    A connection that was silenced stays so after the fault: its bytes are gone.
+    A connection whose bytes were discarded stays without data after the fault has ended.
     """
 
-    NONE = "passes everything on"
-    DELAYED = "holds every piece up"
+    NONE = "forwards everything"
+    DELAYED = "delays every chunk"
     RESET = "resets connections, open and new"
-    SILENT = "swallows all bytes"
-    LOSSY = "swallows all bytes of some new connections"
-    NO_REQUESTS = "swallows what clients send"
-    NO_ANSWERS = "swallows what servers send"
-    REPEATED = "sends whole answers a second time, late"
+    SILENT = "discards all bytes"
+    LOSSY = "discards all bytes of some new connections"
+    NO_REQUESTS = "discards what clients send"
+    NO_ANSWERS = "discards what servers send"
+    REPEATED = "sends complete answers a second time after a delay"
 
 
 class LoopbackProxy:
-    """Passes connections on to one address.
+    """Forwards connections to one address.
 
     Args:
-        target: ``IP:PORT`` it passes them on to.
-        rng: Source of delays.
+        target: ``IP:PORT`` to forward to.
+        rng: Source of delays and lost connections.
 
     Attributes:
-        address: ``IP:PORT`` it listens at.
-        fault: What it does to them; may change at any time.
+        address: ``IP:PORT`` of the listener; empty before the start.
+        fault: Current fault; applies to open connections too.
     """
 
     def __init__(self, target: str, rng: random.Random) -> None:
@@ -64,7 +64,7 @@
         return self.address
 
     async def stop(self) -> None:
-        """Drop the listener and all connections."""
+        """Close the listener and all connections."""
         if self._server is not None:
             self._server.close()
         await cancel_all(*self._connections)
@@ -72,14 +72,14 @@
         await asyncio.sleep(0)
 
     def harm(self, fault: LinkFault) -> None:
-        """Begin a fault, or end it with :attr:`LinkFault.NONE`."""
+        """Set the current fault; :attr:`LinkFault.NONE` ends it."""
         self.fault = fault
         if fault is LinkFault.RESET:
             for connection in self._connections:
                 connection.cancel()
 
     def silence_open(self) -> None:
-        """Swallow from now on all bytes of the connections that are open; new ones work."""
+        """Discard all further bytes of the connections open now; new connections work."""
         self._num_silenced = self._num_accepted
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -89,7 +89,7 @@
         try:
             await self._connect(reader, writer)
         except (asyncio.CancelledError, OSError):
-            # Both ends of a harmed connection see a reset, as of a broken link.
+            # Both ends see a connection reset, as with a broken link.
             _reset(writer)
         finally:
             writer.close()
@@ -106,14 +106,14 @@
         server_reader, server_writer = await asyncio.open_connection(host, int(port))
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pass(reader, server_writer, True, is_lost, number))
-                group.create_task(self._pass(server_reader, writer, False, is_lost, number))
+                group.create_task(self._forward(reader, server_writer, True, is_lost, number))
+                group.create_task(self._forward(server_reader, writer, False, is_lost, number))
         except* OSError:
             _reset(writer)
         finally:
             _reset(server_writer)
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -121,9 +121,17 @@
         is_silenced: bool,
         number: int,
     ) -> None:
-        """Pass one direction of a connection, told by its number, on until its sender ends it."""
+        """Forward one direction of a connection until its sender closes it.
+
+        Args:
+            reader: Side to read from.
+            writer: Side to write to.
+            is_request: Whether the direction is from client to server.
+            is_silenced: Whether the bytes are discarded.
+            number: Number of the connection, in order of acceptance.
+        """
         while chunk := await reader.read(CHUNK_BYTES):
-            is_silenced = is_silenced or self._swallows(is_request)
+            is_silenced = is_silenced or self._discards(is_request)
             is_silenced = is_silenced or number <= self._num_silenced
             if is_silenced:
                 continue
@@ -137,13 +145,13 @@
         with contextlib.suppress(OSError, RuntimeError):
             writer.write_eof()
 
-    def _swallows(self, is_request: bool) -> bool:
+    def _discards(self, is_request: bool) -> bool:
         one_way = LinkFault.NO_REQUESTS if is_request else LinkFault.NO_ANSWERS
         return self.fault in (LinkFault.SILENT, one_way)
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Drop a connection so that its other end sees a reset."""
+    """Abort a connection so that the other end sees a reset."""
     connected: socket.socket | None = writer.get_extra_info("socket")
     if connected is not None and connected.fileno() >= 0:
         connected.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -151,7 +159,7 @@
 
 
 def _is_whole_answer(chunk: bytes) -> bool:
-    """Whether these bytes are one HTTP answer of a stated length, from its first to its last."""
+    """Whether the chunk is exactly one HTTP answer with a ``Content-Length``."""
     head, found, body = chunk.partition(_HEAD_END)
     if not found or not head.startswith(_ANSWER_BEGIN):
         return False
--- a/src/hollowrack_bench/soak_operator.py
+++ b/src/hollowrack_bench/soak_operator.py
@@ -1,4 +1,4 @@
-"""The operator of a soak: a configuration whose routes come and go."""
+"""Operator of a soak: writes configurations whose routes are added and removed."""
 
 import copy
 import random
@@ -11,15 +11,15 @@
 
 
 class SoakOperator:
-    """Writes configurations of rising versions; the routes of the first one always stay.
+    """Writes configurations with increasing versions; routes of the first one are never removed.
 
     Args:
         store: The platform's store.
         content: The first configuration.
-        rng: Draws changes.
+        rng: Source of the changes.
 
     Attributes:
-        num_changes: How many configurations were written.
+        num_changes: Number of configurations written.
     """
 
     def __init__(
@@ -32,23 +32,23 @@
         self._spare: dict[str, dict[str, Any]] = {}
 
     def add_route(self, like: str, prefix: str) -> None:
-        """Add a route that does what another one does.
+        """Add a copy of a route under another prefix.
 
         Args:
-            like: Prefix of the other one.
-            prefix: Its own prefix.
+            like: Prefix of the route to copy.
+            prefix: Prefix of the new route.
         """
         original = next(route for route in self._content["routes"] if route["path-prefix"] == like)
         self._spare[prefix] = copy.deepcopy(original) | {"path-prefix": prefix}
         self._write()
 
     def remove_route(self, prefix: str) -> None:
-        """Take a route away that was added."""
+        """Remove an added route, if it exists, and write the configuration."""
         self._spare.pop(prefix, None)
         self._write()
 
     def change_spare_routes(self) -> None:
-        """Add a route that nobody uses, or take one away."""
+        """Add or remove a random route that no caller uses."""
         prefix = f"/spare-{self._rng.randrange(NUM_SPARE_ROUTES)}/"
         if prefix in self._spare:
             self.remove_route(prefix)
