--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,10 @@
 PYTHON ?= python3.11
 VENV := .venv
 READY := $(VENV)/.ready
-# Tests that fail for a known fault: one a line, "test | cause | issue".
+# Tests with a known fault, one per line: "test | cause | issue".
 KNOWN_RED := $(shell cut -d'|' -f1 KNOWN-RED.txt)
-# Tests run in so many processes, each file in one of them: in one process they take 6 minutes, in
-# four 2 on 12 cores. Those that start processes of their own need a core or two besides.
+# Number of test processes; a test file runs in one of them. Some tests start further processes, so
+# leave one or two cores free.
 TEST_PROCESSES ?= 4
 
 .PHONY: run test check format
@@ -15,11 +15,11 @@
 	$(VENV)/bin/pip install --quiet --no-deps --editable .
 	touch $(READY)
 
-# Runs the demonstration: a whole fleet with stand-ins in one process.
+# Runs the demo: a fleet with stand-ins in one process.
 run: $(READY)
 	$(VENV)/bin/hollowrack demo
 
-# Runs exactly what CI runs.
+# Runs the same checks as CI.
 test: $(READY)
 	$(VENV)/bin/ruff format --check .
 	$(VENV)/bin/ruff check .
--- a/deploy/run.py
+++ b/deploy/run.py
@@ -1,4 +1,4 @@
-"""Starts one role of hollowrack on the users' platform from a checkout."""
+"""Entry point that starts one role of hollowrack on the users' platform from a checkout."""
 
 import sys
 from pathlib import Path
--- a/src/hollowrack_bench/hollow/__init__.py
+++ b/src/hollowrack_bench/hollow/__init__.py
@@ -1,1 +1,1 @@
-"""Hollow fleets: the daemon's node cores on virtual time, with memory in place of sockets."""
+"""Simulated fleets: node cores on virtual time, with an in-memory network and platform."""
