--- a/src/hollowrack_bench/capacity_page.py
+++ b/src/hollowrack_bench/capacity_page.py
@@ -20,7 +20,7 @@
 BYTES_LIMIT = 2000.0
 MEMORY_LIMIT = 64_000_000.0
 _PLACEMENT_BYTES = 400.0
-_MIB = 1_000_000.0
+_MB = 1_000_000.0
 
 
 @dataclass(frozen=True)
@@ -57,31 +57,31 @@
     )
 
 
-def _value(slopes: dict[str, Any], name: str) -> float:
+def _slope(slopes: dict[str, Any], name: str) -> float:
     return float(slopes[name]["slope"])
 
 
-def _at(slopes: dict[str, Any], name: str, size: float) -> float:
-    return float(slopes[name]["intercept"]) + size * _value(slopes, name)
+def _value_at(slopes: dict[str, Any], name: str, size: float) -> float:
+    return float(slopes[name]["intercept"]) + size * _slope(slopes, name)
 
 
 def _rows(slopes: dict[str, Any]) -> list[Row]:
     requests = REQUESTS_PER_S / NUM_NODES
     tokens = TOKENS_PER_S / NUM_NODES
-    relay_cpu = requests * _value(slopes, "relay_cpu_per_request") + tokens * _value(
+    relay_cpu = requests * _slope(slopes, "relay_cpu_per_request") + tokens * _slope(
         slopes, "relay_cpu_per_token"
     )
     placements = REQUESTS_PER_S / NUM_ZONES
-    placement_cpu = placements * _at(slopes, "placement_cpu_per_back_end", NUM_ENGINES)
+    placement_cpu = placements * _value_at(slopes, "placement_cpu_per_back_end", NUM_ENGINES)
     unsafe = REQUESTS_PER_S * UNSAFE_SHARE / CLAIM_GROUPS
-    claim_cpu = unsafe * _value(slopes, "claims_cpu_per_request")
-    claim_memory = KEPT_CLAIMS * _value(slopes, "memory_per_claim")
+    claim_cpu = unsafe * _slope(slopes, "claims_cpu_per_request")
+    claim_memory = KEPT_CLAIMS * _slope(slopes, "memory_per_claim")
     samples = SAMPLES_PER_STEP / STEP_S / 3
-    ledger_cpu = samples * _value(slopes, "ledger_cpu_per_sample")
-    ledger_memory = 512 * STEPS_HELD * _value(slopes, "memory_per_slot")
-    gossip = _at(slopes, "membership_bytes_per_node_s", NUM_NODES)
-    gossip_cpu = _at(slopes, "membership_cpu_per_node_s", NUM_NODES)
-    gossip_memory = NUM_NODES * _value(slopes, "memory_per_known_node")
+    ledger_cpu = samples * _slope(slopes, "ledger_cpu_per_sample")
+    ledger_memory = 512 * STEPS_HELD * _slope(slopes, "memory_per_slot")
+    gossip = _value_at(slopes, "membership_bytes_per_node_s", NUM_NODES)
+    gossip_cpu = _value_at(slopes, "membership_cpu_per_node_s", NUM_NODES)
+    gossip_memory = NUM_NODES * _slope(slopes, "memory_per_known_node")
     return [
         Row(
             "gateway (every node)",
@@ -107,7 +107,7 @@
             f"{KEPT_CLAIMS:,} ended claims",
             f"{unsafe:.0f} claims a second",
             f"{claim_cpu:.1%} of a core",
-            f"{claim_memory / _MIB:.0f} MB",
+            f"{claim_memory / _MB:.0f} MB",
             "`requests/claims.py` on the replicated log",
             "claims_cpu_per_request, memory_per_claim",
         ),
@@ -115,9 +115,9 @@
             "ledger replica (5 a run)",
             f"{512 * STEPS_HELD:,} slots with samples of 2,000 bytes",
             f"{samples:.1f} samples a second, "
-            f"{samples * _value(slopes, 'ledger_bytes_per_sample') / 1000:.1f} KB/s",
+            f"{samples * _slope(slopes, 'ledger_bytes_per_sample') / 1000:.1f} KB/s",
             f"{ledger_cpu:.2%} of a core",
-            f"{ledger_memory / _MIB:.1f} MB",
+            f"{ledger_memory / _MB:.1f} MB",
             "`rollout/ledger.py` on the replicated log",
             "ledger_cpu_per_sample, ledger_bytes_per_sample, memory_per_slot",
         ),
@@ -126,7 +126,7 @@
             f"{NUM_NODES} members, some facts",
             f"{gossip:,.0f} bytes a second out",
             f"{gossip_cpu:.1%} of a core",
-            f"{gossip_memory / _MIB:.1f} MB",
+            f"{gossip_memory / _MB:.1f} MB",
             "`membership/swim.py`: ring of watched neighbours in the zone",
             "membership_bytes_per_node_s, membership_cpu_per_node_s, memory_per_known_node",
         ),
@@ -180,18 +180,18 @@
 
 
 def _limits(slopes: dict[str, Any]) -> str:
-    gossip = _at(slopes, "membership_bytes_per_node_s", NUM_NODES)
-    gossip_cpu = _at(slopes, "membership_cpu_per_node_s", NUM_NODES)
-    slope = _value(slopes, "membership_bytes_per_node_s")
-    memory = NUM_NODES * _value(slopes, "memory_per_known_node")
+    gossip = _value_at(slopes, "membership_bytes_per_node_s", NUM_NODES)
+    gossip_cpu = _value_at(slopes, "membership_cpu_per_node_s", NUM_NODES)
+    slope = _slope(slopes, "membership_bytes_per_node_s")
+    memory = NUM_NODES * _slope(slopes, "memory_per_known_node")
     return (
         "## Control against its limits, on a node without another role\n\n"
         f"- Bytes: {gossip:,.0f} of {BYTES_LIMIT:,.0f} a second; {slope:+.2f} bytes a second for "
         "each further node.\n"
         f"- Processor: {gossip_cpu:.2%} of the allowed {CPU_LIMIT:.0%} of a core for membership "
         "alone; timers and polling of engines come on top (see the gaps).\n"
-        f"- Memory: membership takes {memory / _MIB:.1f}"
-        f" of {MEMORY_LIMIT / _MIB:.0f} MB.\n"
+        f"- Memory: membership takes {memory / _MB:.1f}"
+        f" of {MEMORY_LIMIT / _MB:.0f} MB.\n"
     )
 
 
--- a/src/hollowrack_bench/demo.py
+++ b/src/hollowrack_bench/demo.py
@@ -50,7 +50,7 @@
 
     async def inject(step: int) -> None:
         if step == 1:
-            faults.append(asyncio.create_task(_crash_engine(fleet)))
+            faults.append(asyncio.create_task(_crash_and_restart_engine(fleet)))
         if step == config.num_steps - 1:
             faults.append(asyncio.create_task(fleet.stop_node(stopped_node)))
 
@@ -62,7 +62,7 @@
     return DemoOutcome(_rows(config, training, live, time.monotonic() - started_s), broken)
 
 
-async def _crash_engine(fleet: LocalFleet) -> None:
+async def _crash_and_restart_engine(fleet: LocalFleet) -> None:
     engine = fleet.engines[0]
     await engine.crash()
     await asyncio.sleep(ENGINE_DOWN_S)
