--- a/src/hollowrack_bench/replication_model.py
+++ b/src/hollowrack_bench/replication_model.py
@@ -293,7 +293,7 @@
         self._send_and_check(node)
         self.counts["activations"] += 1
 
-    def land_activation(self, position: int) -> None:
+    def complete_activation(self, position: int) -> None:
         """Apply a delayed write of an activated epoch; it may overwrite a higher epoch."""
         if self._late_activations:
             position %= len(self._late_activations)
@@ -393,7 +393,7 @@
     (3, lambda model, rng: model.replace_member(_index(rng), _index(rng), _index(rng))),
     (20, lambda model, rng: model.join(_index(rng))),
     (20, lambda model, rng: model.activate(_index(rng))),
-    (15, lambda model, rng: model.land_activation(_index(rng))),
+    (15, lambda model, rng: model.complete_activation(_index(rng))),
 )
 
 
@@ -403,7 +403,7 @@
     (2, lambda model, rng: model.pause(_index(rng), True)),
     (6, lambda model, rng: model.pause(_index(rng), False)),
 )
-STORM_FACTORS = (1, 4, 16)
+FAULT_RATE_FACTORS = (1, 4, 16)
 
 
 @dataclass(frozen=True)
@@ -431,7 +431,7 @@
     counts: Counter[str] = Counter()
     for seed in seeds:
         rng = random.Random(seed)
-        fault_factor = rng.choice(STORM_FACTORS)
+        fault_factor = rng.choice(FAULT_RATE_FACTORS)
         weights = [weight for weight, _ in ACTIONS] + [
             weight * fault_factor for weight, _ in FAULTS
         ]
