--- a/src/hollowrack_bench/demo.py
+++ b/src/hollowrack_bench/demo.py
@@ -58,8 +58,8 @@
     training = await trainer.run(inject)
     await asyncio.gather(*faults)
     live = await callers.stop()
-    broken = find_violations(config, training, live, fleet)
-    return DemoOutcome(_rows(config, training, live, time.monotonic() - started_s), broken)
+    violations = find_violations(config, training, live, fleet)
+    return DemoOutcome(_rows(config, training, live, time.monotonic() - started_s), violations)
 
 
 async def _crash_and_restart_engine(fleet: LocalFleet) -> None:
--- a/src/hollowrack_bench/replication_model.py
+++ b/src/hollowrack_bench/replication_model.py
@@ -249,14 +249,14 @@
         """Replace a member by another node, based on the membership known to one node."""
         node = self.nodes[index % len(self.nodes)]
         based_on = node.replica.membership if node.replica is not None else self.stored_membership()
-        joiner = self.nodes[replacement % len(self.nodes)]
-        if not joiner.is_running or node_of(joiner.replica_id) in {
+        new_member = self.nodes[replacement % len(self.nodes)]
+        if not new_member.is_running or node_of(new_member.replica_id) in {
             node_of(member) for member in based_on.members
         }:
             return
         position %= len(based_on.members)
         members = list(based_on.members)
-        members[position] = joiner.replica_id
+        members[position] = new_member.replica_id
         if self.change_membership(based_on, tuple(members)):
             self.join(replacement)
 
--- a/src/hollowrack_bench/soak_faults.py
+++ b/src/hollowrack_bench/soak_faults.py
@@ -176,7 +176,7 @@
     # -- processes --------------------------------------------------------------------------
 
     def _reserve_node(self) -> str | None:
-        """Choose a node whose process no other fault affects, and mark it as disturbed."""
+        """Choose a node whose process no other fault affects, and mark it as faulted."""
         system = self._system
         free = [name for name in system.settings if name not in system.faulted_nodes]
         if not free:
@@ -265,10 +265,10 @@
     # -- workers and links ------------------------------------------------------------------
 
     async def _fail_worker(self) -> None:
-        switches = self._rng.choice(self._system.workers).faults
-        switches.breaks_streams = self._rng.randint(0, NUM_WORKER_FAULTS)
-        switches.num_short = self._rng.randint(0, NUM_WORKER_FAULTS)
-        switches.num_errors = self._rng.randint(0, 1)
+        faults = self._rng.choice(self._system.workers).faults
+        faults.breaks_streams = self._rng.randint(0, NUM_WORKER_FAULTS)
+        faults.num_short = self._rng.randint(0, NUM_WORKER_FAULTS)
+        faults.num_errors = self._rng.randint(0, 1)
 
     async def _set_link_faults(
         self, links: dict[str, LoopbackProxy], faults: Sequence[LinkFault] = LINK_FAULTS
