--- a/src/hollowrack/rollout/__init__.py
+++ b/src/hollowrack/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Training rollouts: runs, steps, sample slots, their ledger and their scheduling."""
+"""Training rollouts: runs, their sample ledgers, scheduling and execution of generations."""
--- a/src/hollowrack/rollout/commands.py
+++ b/src/hollowrack/rollout/commands.py
@@ -1,6 +1,6 @@
 """Commands and outcomes of the sample ledger.
 
-Every command is safe to repeat: applied twice it has the effect and the outcome of once.
+Commands are idempotent: a repeated command has no further effect and the same outcome.
 """
 
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 @message("ledger.open_run")
 @dataclass(frozen=True)
 class OpenRun:
-    """Open the run, or check that it was opened with the same settings."""
+    """Open the run; fails if it is open with other settings."""
 
     settings: RunSettings
 
@@ -20,7 +20,7 @@
 @message("ledger.submit_step")
 @dataclass(frozen=True)
 class SubmitStep:
-    """Create the slots of a step."""
+    """Create the sample slots of a step."""
 
     step: int
     prompts: tuple[Prompt, ...]
@@ -29,7 +29,7 @@
 @message("ledger.commit_sample")
 @dataclass(frozen=True)
 class CommitSample:
-    """Commit a sample to its slot; the first one wins."""
+    """Commit a sample to its slot; only the first commit to a slot succeeds."""
 
     sample: Sample
 
@@ -37,7 +37,7 @@
 @message("ledger.hand_over")
 @dataclass(frozen=True)
 class HandOver:
-    """Move committed samples of a step into the hand-over order; stale ones are voided."""
+    """Hand committed samples of a step over to the trainer; stale samples are voided."""
 
     step: int
     max_samples: int
@@ -46,7 +46,7 @@
 @message("ledger.announce_version")
 @dataclass(frozen=True)
 class AnnounceVersion:
-    """The trainer now holds this weight version."""
+    """Record the weight version that the trainer holds."""
 
     version: int
 
@@ -54,7 +54,7 @@
 @message("ledger.acknowledge")
 @dataclass(frozen=True)
 class Acknowledge:
-    """The trainer has everything up to and including this cursor."""
+    """Record that the trainer has received all samples up to and including this cursor."""
 
     cursor: int
 
@@ -65,11 +65,11 @@
 @message("ledger.outcome")
 @dataclass(frozen=True)
 class LedgerOutcome:
-    """What a command came to.
+    """Outcome of a command.
 
     Attributes:
-        code: Result code.
-        detail: What is wrong, for a failure.
+        code: Value of a :class:`~hollowrack.results.ResultCode`.
+        detail: Error detail; empty on success.
         num_voided: Samples voided as stale by this command.
     """
 
--- a/src/hollowrack/rollout/coordinator.py
+++ b/src/hollowrack/rollout/coordinator.py
@@ -1,8 +1,8 @@
-"""Drives one run on the node that leads its ledger: assigns generations and hands samples over.
+"""Run coordinator: assigns generations and hands samples over, on the leader of a run's ledger.
 
-The coordinator keeps no state that matters. Which slots are open is in the ledger; which of them
-are being generated is restated by the nodes that do it. Whoever leads next waits for the first
-statements and starts only what nobody runs.
+The coordinator has no durable state. Open sample slots are in the ledger; running slots are
+reported periodically by the executors. A new leader waits for the first reports and starts only the
+slots that no executor runs.
 """
 
 import asyncio
@@ -30,27 +30,27 @@
 
 HAND_OVER_TIMEOUT_S = 5.0
 MAX_POLL_WAIT_S = 20.0
-_POLL_PAUSE_S = 0.02
-# A slot that its node has not restated for this long is started again elsewhere.
+_HAND_OVER_POLL_INTERVAL_S = 0.02
+# An unreported slot is assigned again after this time.
 PLACEMENT_TTL_S = 4 * REPORT_INTERVAL_S
-# A statement that is younger than this may have been made before an assignment arrived.
+# A report received sooner after an assignment may predate its arrival at the executor.
 ASSIGNMENT_TRAVEL_S = 0.2
-# A new leader hears from every executor within this time.
+# Every live executor reports to a new leader within this time.
 FIRST_STATEMENTS_S = 1.5 * REPORT_INTERVAL_S
 
 
 @dataclass(frozen=True)
 class RolloutContext:
-    """What a coordinator needs of its node.
+    """Components of the node that its coordinators use.
 
     Attributes:
-        node: The node's name.
+        node: Name of the node.
         fleet: The node's view of the back ends.
-        host: Knows which ledgers this node leads.
-        groups: Commits to the ledgers.
-        links: Reaches executors on other nodes.
-        executor: The executor on this node.
-        decisions: Where decisions are recorded.
+        host: Hosts the replicas of the ledgers on this node.
+        groups: Proposes commands to the ledgers.
+        links: Sends assignments to executors on other nodes.
+        executor: Executor of this node.
+        decisions: Log of the decisions.
     """
 
     node: str
@@ -65,33 +65,33 @@
 @dataclass
 class _RunningSlot:
     node: str
-    restated_s: float
+    received_s: float
 
 
 @dataclass
 class RunningTable:
-    """Which slots of a run are being generated, as their nodes state it.
+    """Running sample slots of one run, from the reports of the executors.
 
     Attributes:
-        slots: Where each slot runs and when that was last heard.
+        slots: Executor and time of the last report, by sample slot.
     """
 
     slots: dict[Slot, _RunningSlot] = field(default_factory=dict)
 
-    def note(self, node: str, stated: tuple[Slot, ...]) -> None:
-        """Take in a node's statement."""
-        names = set(stated)
-        for slot in stated:
+    def note(self, node: str, reported: tuple[Slot, ...]) -> None:
+        """Record which slots a node runs; removes its other slots unless just assigned."""
+        reported_set = set(reported)
+        for slot in reported:
             self.slots[slot] = _RunningSlot(node, now_s())
         for slot, entry in list(self.slots.items()):
-            is_old = now_s() - entry.restated_s >= ASSIGNMENT_TRAVEL_S
-            if entry.node == node and slot not in names and is_old:
+            is_past_grace = now_s() - entry.received_s >= ASSIGNMENT_TRAVEL_S
+            if entry.node == node and slot not in reported_set and is_past_grace:
                 del self.slots[slot]
 
     def forget_old(self) -> None:
-        """Drop what was not restated: its node is gone."""
+        """Remove slots that have not been reported for ``PLACEMENT_TTL_S``."""
         for slot, entry in list(self.slots.items()):
-            if now_s() - entry.restated_s >= PLACEMENT_TTL_S:
+            if now_s() - entry.received_s >= PLACEMENT_TTL_S:
                 del self.slots[slot]
 
 
@@ -100,9 +100,9 @@
 
     Args:
         run: Name of the run.
-        ledger: The ledger's state on this node.
-        running: What executors state; kept by every member of the ledger.
-        context: The node.
+        ledger: Local replica of the run's ledger.
+        running: Running slots of the run; maintained by every member of the ledger's group.
+        context: Components of the node.
     """
 
     def __init__(
@@ -113,16 +113,16 @@
         self._ledger = ledger
         self._running = running
         self._context = context
-        self._leads_since_s = now_s()
+        self._leader_since_s = now_s()
         self._next_executor = 0
 
     # -- reconcile loop ---------------------------------------------------------------------
 
     def reconcile(self) -> None:
-        """Assign what is missing; called often while this node leads, and cheap when idle."""
+        """Assign open slots that are not running, within the training capacity."""
         state = self._ledger.state
         self._running.forget_old()
-        if state.settings is None or self._awaits_statements():
+        if state.settings is None or self._awaits_first_reports():
             return
         open_slots = {slot for slot in self._running.slots if self._ledger.is_open(slot)}
         max_running = self._num_training_slots(state.settings.model)
@@ -130,10 +130,10 @@
         for dispatch in plan_dispatches(state, open_slots, history, max_running):
             self._assign(dispatch, state.settings)
 
-    def _awaits_statements(self) -> bool:
-        """Whether other leaders' generations may still be under way unheard of."""
+    def _awaits_first_reports(self) -> bool:
+        """Whether generations of earlier leaders may be running without having been reported."""
         has_history = self._ledger.history.num_noted > 0
-        return has_history and now_s() - self._leads_since_s < FIRST_STATEMENTS_S
+        return has_history and now_s() - self._leader_since_s < FIRST_STATEMENTS_S
 
     def _assign(self, dispatch: Dispatch, settings: RunSettings) -> None:
         assignment = Assignment(
@@ -153,7 +153,7 @@
             self._context.links.post(node, assignment)
 
     def _choose_executor(self) -> str:
-        """Deal the generations to the live nodes in turn, this one included."""
+        """Choose the executor among the live nodes, round robin."""
         links = self._context.links
         nodes = [node for node in links.candidates(self._run) if links.is_reachable(node)]
         if not nodes:
@@ -182,20 +182,20 @@
             logging.info("run %s step %d: %s", self._run, request.step, detail)
         return outcome.map(lambda _: None)
 
-    # -- trainer's reads --------------------------------------------------------------------
+    # -- reads ------------------------------------------------------------------------------
 
     async def read_samples(self, request: ReadSamples) -> Result[Samples, Problem]:
-        """Answer a trainer's long poll; every re-read of a cursor gives the same samples.
+        """Answer a trainer's long poll; repeated reads of a cursor return the same samples.
 
         Fails with ``CURSOR_INVALID``, ``STEP_UNKNOWN``, or the codes of a proposal.
         """
         problem = self._check_cursor(request)
         if problem is not None:
-            # A leader that was just elected, or was replaced without knowing it, may lag behind the
-            # trainer. A committed no-op brings it up to date or shows that it does not lead.
-            barrier = await self._hand_over(request, max_samples=0)
-            if isinstance(barrier, Failure):
-                return Failure(barrier.failure())
+            # A leader that was just elected, or that has been replaced unknowingly, may lag behind.
+            # Committing a no-op brings it up to date or fails if it is not the leader.
+            no_op = await self._hand_over(request, max_samples=0)
+            if isinstance(no_op, Failure):
+                return Failure(no_op.failure())
             problem = self._check_cursor(request)
         if problem is not None:
             return Failure(problem)
@@ -210,22 +210,24 @@
                 cursor = samples[-1].cursor if samples else request.cursor
                 return Success(Samples(tuple(samples), cursor, num_remaining))
             if step.commit_order:
-                handed = await self._hand_over(request, request.max_samples)
-                if isinstance(handed, Failure):
-                    return Failure(handed.failure())
+                hand_over = await self._hand_over(request, request.max_samples)
+                if isinstance(hand_over, Failure):
+                    return Failure(hand_over.failure())
                 continue
-            # Samples often finish in groups; one hand-over serves those that come close together.
-            await asyncio.sleep(_POLL_PAUSE_S)
+            # Batches samples that are committed within a short time into one hand-over.
+            await asyncio.sleep(_HAND_OVER_POLL_INTERVAL_S)
 
     def _check_cursor(self, request: ReadSamples) -> Problem | None:
         state = self._ledger.state
         if request.step not in state.steps:
             return Problem(ResultCode.STEP_UNKNOWN, f"step {request.step}", "step")
         if request.cursor > state.last_cursor:
-            detail = f"{request.cursor} is beyond the last cursor {state.last_cursor}"
+            detail = f"cursor {request.cursor} is beyond the last cursor {state.last_cursor}"
             return Problem(ResultCode.CURSOR_INVALID, detail, "cursor")
         if request.cursor < state.acknowledged:
-            detail = f"{request.cursor} is before the acknowledged cursor {state.acknowledged}"
+            detail = (
+                f"cursor {request.cursor} is before the acknowledged cursor {state.acknowledged}"
+            )
             return Problem(ResultCode.CURSOR_INVALID, detail, "cursor")
         return None
 
@@ -233,7 +235,9 @@
         """Return the run's status; fails with ``UNKNOWN_RUN``."""
         state = self._ledger.state
         if state.settings is None:
-            return Failure(Problem(ResultCode.UNKNOWN_RUN, "the run was not opened", self._run))
+            return Failure(
+                Problem(ResultCode.UNKNOWN_RUN, "the run has not been opened", self._run)
+            )
         return Success(
             RunStatus(
                 self._run,
@@ -244,16 +248,16 @@
                 state.acknowledged,
                 state.num_voided,
                 state.num_duplicates,
-                self._shown_steps(),
+                self._step_statuses(),
             )
         )
 
-    def _shown_steps(self) -> tuple[StepStatus, ...]:
-        """Return the steps that are not whole, and the last whole one."""
+    def _step_statuses(self) -> tuple[StepStatus, ...]:
+        """Return the status of the incomplete steps and of the last complete one."""
         steps = self._ledger.state.steps
-        whole = [number for number, step in steps.items() if step.is_whole]
-        shown = {number for number, step in steps.items() if not step.is_whole}
-        shown.update(whole[-1:])
+        complete = [number for number, step in steps.items() if step.is_whole]
+        numbers = {number for number, step in steps.items() if not step.is_whole}
+        numbers.update(complete[-1:])
         return tuple(
             StepStatus(
                 number,
@@ -261,5 +265,5 @@
                 len(steps[number].commit_order),
                 steps[number].num_handed_over,
             )
-            for number in sorted(shown)
+            for number in sorted(numbers)
         )
--- a/src/hollowrack/rollout/executor.py
+++ b/src/hollowrack/rollout/executor.py
@@ -1,8 +1,8 @@
-"""Runs the generations that run coordinators assign to this node, and commits their samples.
+"""Rollout executor: runs the generations assigned to this node and commits their samples.
 
-Generations live apart from the ledger's leader: when the leader dies or hands over, they go on, and
-their samples are committed at the next one. Every node restates what it runs for a run, so that a
-new leader does not start it again; what nobody restates is started anew.
+Generations continue across changes of the ledger's leader; their samples are committed through the
+new leader. Every node periodically reports its running slots, so that a new leader does not start
+them again. Slots that are no longer reported are assigned again.
 """
 
 import asyncio
@@ -47,16 +47,16 @@
 @message("rollout.assignment")
 @dataclass(frozen=True)
 class Assignment:
-    """One generation that a coordinator wants run.
+    """A coordinator's request to generate one sample.
 
     Attributes:
-        run: The run.
-        model: Its model.
-        slot: The slot to fill.
-        prompt: Its prompt.
-        min_weight_version: Lowest useful weight version.
-        max_staleness_versions: The run's staleness bound.
-        training_room: Share of an engine that training may take.
+        run: Name of the run.
+        model: Model of the run.
+        slot: Sample slot to fill.
+        prompt: Prompt of the slot.
+        min_weight_version: Lowest weight version that an engine may start with.
+        max_staleness_versions: Staleness bound of the run, in weight versions.
+        training_room: Fraction of an engine's slots that training may use.
     """
 
     run: str
@@ -71,7 +71,7 @@
 @message("rollout.running")
 @dataclass(frozen=True)
 class RunningSlots:
-    """What a node runs for a run; sent to the ledger's members."""
+    """Report of the sample slots of one run that a node runs, sent to the ledger's members."""
 
     run: str
     node: str
@@ -80,18 +80,18 @@
 
 @dataclass(frozen=True)
 class ExecutorContext:
-    """What an executor needs of its node.
+    """Components of the node that its executor uses.
 
     Attributes:
-        node: The node's name.
-        zone: The node's zone.
-        runner: Runs generations.
-        groups: Commits to the ledgers.
-        links: Reaches the ledgers' members.
-        decisions: Where decisions are recorded.
-        metrics: The node's metrics.
-        trainer_version: Returns the version a run's trainer announced last, as gossip has it.
-        on_own_running: Takes this node's own statement.
+        node: Name of the node.
+        zone: Zone of the node.
+        runner: Runs generations on engines.
+        groups: Proposes commands to the ledgers.
+        links: Sends reports to the ledgers' members.
+        decisions: Log of the decisions.
+        metrics: Metrics of the node.
+        trainer_version: Returns the last announced weight version of a run, known by gossip.
+        on_own_running: Called with a report if this node is a member of the ledger's group.
     """
 
     node: str
@@ -106,30 +106,30 @@
 
 
 class RolloutExecutor:
-    """All generations of training that run on one node.
+    """Runs the training generations of one node and reports them.
 
     Args:
-        context: The node.
+        context: Components of the node.
     """
 
     def __init__(self, context: ExecutorContext) -> None:
         self._context = context
         self._running: dict[tuple[str, Slot], asyncio.Task[None]] = {}
-        self._numbers = itertools.count(1)
-        self._ended = asyncio.Event()
+        self._attempt_numbers = itertools.count(1)
+        self._generation_ended = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start restating what runs."""
-        self._task = asyncio.create_task(self._run_restating())
+        """Start the periodic reports."""
+        self._task = asyncio.create_task(self._run_reporting())
 
     async def stop(self) -> None:
-        """Cancel everything; the slots stay open and are started elsewhere."""
+        """Cancel all generations; their slots stay open and are assigned to other nodes."""
         tasks = [*self._running.values(), *([self._task] if self._task is not None else [])]
         await cancel_all(*tasks)
 
     def assign(self, assignment: Assignment) -> None:
-        """Start a generation, unless this node runs the slot already."""
+        """Start a generation unless the slot is already running on this node."""
         key = (assignment.run, assignment.slot)
         if key not in self._running:
             self._running[key] = asyncio.create_task(self._execute(assignment))
@@ -142,16 +142,16 @@
                 if isinstance(result, Success):
                     await self._commit(assignment, result.unwrap())
                 else:
-                    self._note_failure(assignment, result.failure())
+                    self._record_failure(assignment, result.failure())
         finally:
             self._running.pop((assignment.run, slot), None)
-            self._ended.set()
+            self._generation_ended.set()
 
     async def _generate(self, assignment: Assignment) -> Result[GeneratedText, Problem]:
-        """Generate, waiting for room: an assignment is not given back because engines are full."""
+        """Generate a sample, with retries while no engine has a free slot."""
         result = await self._context.runner.run(self._plan(assignment))
         for _ in range(MAX_WAITS_FOR_ROOM):
-            if isinstance(result, Success) or not _did_not_run(result.failure()):
+            if isinstance(result, Success) or not _is_not_run(result.failure()):
                 break
             await asyncio.sleep(RETRY_INTERVAL_S)
             result = await self._context.runner.run(self._plan(assignment))
@@ -159,10 +159,10 @@
 
     def _plan(self, assignment: Assignment) -> GenerationPlan:
         slot = assignment.slot
-        request_id = f"{assignment.run}/{slot}/{self._context.node}.{next(self._numbers)}"
+        request_id = f"{assignment.run}/{slot}/{self._context.node}.{next(self._attempt_numbers)}"
 
         def stop_if_stale(spans: SpanBuilder) -> Problem | None:
-            return self._stop_if_stale(assignment, spans)
+            return self._check_staleness(assignment, spans)
 
         return GenerationPlan(
             generation=GenerationRequest(
@@ -187,8 +187,8 @@
             stop_check=stop_if_stale,
         )
 
-    def _stop_if_stale(self, assignment: Assignment, spans: SpanBuilder) -> Problem | None:
-        """End a generation whose sample could not be accepted any more."""
+    def _check_staleness(self, assignment: Assignment, spans: SpanBuilder) -> Problem | None:
+        """Return ``SAMPLE_STALE`` once the sample is over the staleness bound."""
         if spans.oldest_version is None:
             return None
         age = self._context.trainer_version(assignment.run) - spans.oldest_version
@@ -213,7 +213,7 @@
         self._context.metrics.tokens.labels(use=use).inc(generated.num_tokens)
 
     async def _propose(self, run: str, command: CommitSample) -> ResultCode:
-        """Commit, through changes of leader; a finished sample is worth waiting for."""
+        """Propose a commit, with retries through changes of leader; returns the result code."""
         data = codec.encode(command)
         code = ResultCode.OUTCOME_UNKNOWN
         for _ in range(MAX_COMMIT_ATTEMPTS):
@@ -225,7 +225,7 @@
             await asyncio.sleep(RETRY_INTERVAL_S)
         return code
 
-    def _note_failure(self, assignment: Assignment, problem: Problem) -> None:
+    def _record_failure(self, assignment: Assignment, problem: Problem) -> None:
         kind = DecisionKind.DISCARD
         if problem.code is ResultCode.SAMPLE_STALE:
             kind = DecisionKind.STOP_EARLY
@@ -234,23 +234,23 @@
         self._context.metrics.samples.labels(outcome=problem.code.name.lower()).inc()
         logging.info("sample not generated: %d %s", problem.code, problem.code.name)
 
-    async def _run_restating(self) -> None:
+    async def _run_reporting(self) -> None:
         runs: set[str] = set()
         while True:
             await asyncio.sleep(RESTATE_MIN_PAUSE_S)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(REPORT_INTERVAL_S - RESTATE_MIN_PAUSE_S):
-                    await self._ended.wait()
-            self._ended.clear()
-            # A run whose last generation ended is restated once more, as empty.
+                    await self._generation_ended.wait()
+            self._generation_ended.clear()
+            # A run whose last generation ended is reported once more, without slots.
             by_run: dict[str, list[Slot]] = {run: [] for run in runs}
             for run, slot in self._running:
                 by_run.setdefault(run, []).append(slot)
             runs = {run for run, _ in self._running}
             for run, slots in by_run.items():
-                await self._restate(RunningSlots(run, self._context.node, tuple(slots)))
+                await self._send_report(RunningSlots(run, self._context.node, tuple(slots)))
 
-    async def _restate(self, running: RunningSlots) -> None:
+    async def _send_report(self, running: RunningSlots) -> None:
         found = (await self._context.groups.find(run_group(running.run))).value_or(None)
         if found is None:
             return
@@ -261,5 +261,5 @@
                 self._context.links.post(node_of(member), running)
 
 
-def _did_not_run(problem: Problem) -> bool:
+def _is_not_run(problem: Problem) -> bool:
     return DESCRIPTIONS[problem.code].execution is Execution.NOT_RUN
--- a/src/hollowrack/rollout/groups.py
+++ b/src/hollowrack/rollout/groups.py
@@ -1,8 +1,8 @@
-"""Names of the replicated groups on the rollout side."""
+"""Names of the replicated groups that store the sample ledgers."""
 
 RUN_GROUP_PREFIX = "run:"
 
 
 def run_group(run: str) -> str:
-    """Return the name of the group that keeps a run's ledger."""
+    """Return the name of the replicated group that stores a run's ledger."""
     return RUN_GROUP_PREFIX + run
--- a/src/hollowrack/rollout/ledger.py
+++ b/src/hollowrack/rollout/ledger.py
@@ -1,9 +1,9 @@
-"""The sample ledger of one run: a deterministic state machine driven by the replicated log.
+"""Sample ledger of one run: a deterministic state machine over the replicated log.
 
-A slot is open, committed or handed over. The first commit to an open slot wins. Hand-over fixes the
-order in which the trainer reads and is where staleness is decided for good: a committed sample that
-is over the bound is voided there and its slot reopened, and a sample that was handed over is never
-voided, so the trainer sees each slot exactly once (brief, second and third promise).
+A sample slot is open, committed or handed over. Only the first commit to an open slot succeeds.
+Hand-over assigns the cursor by which the trainer reads and makes the final staleness check: a
+committed sample over the bound is voided and its slot reopened. Samples are never voided after
+hand-over, so the trainer receives each slot exactly once.
 """
 
 from dataclasses import dataclass, field
@@ -31,7 +31,7 @@
 
 
 class SlotStatus(IntEnum):
-    """Life of a slot."""
+    """State of a sample slot."""
 
     OPEN = 0
     COMMITTED = 1
@@ -40,12 +40,10 @@
 
 @dataclass
 class SlotState:
-    """One slot of a step.
+    """One sample slot of a step.
 
     Attributes:
-        slot: Its name.
-        status: Where it stands.
-        sample: The committed sample until it is handed over.
+        sample: The committed sample; ``None`` before the commit and after hand-over.
     """
 
     slot: Slot
@@ -58,12 +56,12 @@
     """One submitted step.
 
     Attributes:
-        digest: Hash of the prompts, to recognise a repeated submission.
-        prompts: The prompts, emptied when the step is whole.
-        slots: All slots, in submission order, emptied when the step is whole.
-        commit_order: Indexes into ``slots`` of the committed samples, in commit order.
-        num_slots: Number of slots.
-        num_handed_over: Slots that were handed over.
+        digest: Hash of the command, to detect repeated submissions.
+        prompts: The prompts; empty once the step is complete.
+        slots: The slots in submission order; empty once the step is complete.
+        commit_order: Indices into ``slots`` of the committed samples, in commit order.
+        num_slots: Number of submitted slots.
+        num_handed_over: Number of slots handed over.
     """
 
     digest: int
@@ -75,25 +73,25 @@
 
     @property
     def is_whole(self) -> bool:
-        """Whether every slot was handed over."""
+        """Whether all slots have been handed over."""
         return self.num_handed_over == self.num_slots
 
 
 @message("ledger.state")
 @dataclass
 class LedgerState:
-    """Everything the ledger knows; also the format of its snapshot.
+    """State of the ledger, also the format of its snapshot.
 
     Attributes:
-        settings: Set when the run is opened.
-        trainer_version: Last version the trainer announced.
+        settings: Settings of the run; ``None`` until it is opened.
+        trainer_version: Weight version that the trainer announced last.
         steps: Submitted steps by number.
-        handed_over: Samples handed over and not yet acknowledged, in cursor order.
+        handed_over: Samples handed over but not acknowledged, in cursor order.
         last_cursor: Cursor of the last sample handed over.
-        acknowledged: Cursor up to which the trainer has everything.
+        acknowledged: Last cursor that the trainer has acknowledged.
         num_voided: Samples voided as stale at hand-over.
-        num_duplicates: Commits that lost to an earlier one.
-        num_whole_unannounced: Steps that became whole since the trainer last announced a version.
+        num_duplicates: Commits rejected because their slot was filled.
+        num_whole_unannounced: Steps completed since the trainer last announced a version.
     """
 
     settings: RunSettings | None = None
@@ -110,16 +108,16 @@
 _OK = LedgerOutcome(int(ResultCode.OK))
 
 
-def _refused(code: ResultCode, detail: str) -> LedgerOutcome:
+def _rejected(code: ResultCode, detail: str) -> LedgerOutcome:
     return LedgerOutcome(int(code), detail)
 
 
 class SampleLedger:
-    """The ledger's state machine; implements ``replication.types.StateMachine``."""
+    """State machine of the ledger; implements ``replication.types.StateMachine``."""
 
     def __init__(self) -> None:
         self.state = LedgerState()
-        # Lengths seen by this replica: advice for scheduling, and no part of the agreed state.
+        # Local to this replica and not part of the replicated state: only a scheduling hint.
         self.history = LengthHistory()
         self._positions: dict[int, dict[Slot, int]] = {}
 
@@ -135,18 +133,18 @@
         return codec.encode(self.state)
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the state."""
+        """Replace the state by a snapshot; an empty snapshot resets it."""
         self.state = value_or_raise(codec.decode(snapshot)) if snapshot else LedgerState()
         self._positions = {}
 
     # -- commands ---------------------------------------------------------------------------
 
     def execute(self, command: LedgerCommand) -> LedgerOutcome:
-        """Apply one command."""
+        """Apply one command and return its outcome."""
         if isinstance(command, OpenRun):
             return self._open(command)
         if self.state.settings is None:
-            return _refused(ResultCode.UNKNOWN_RUN, "the run was not opened")
+            return _rejected(ResultCode.UNKNOWN_RUN, "the run has not been opened")
         match command:
             case SubmitStep():
                 return self._submit(command)
@@ -164,19 +162,21 @@
             self.state.settings = command.settings
             self.state.trainer_version = command.settings.initial_version
         elif self.state.settings != command.settings:
-            return _refused(ResultCode.RUN_CONFLICT, f"opened with {self.state.settings}")
+            return _rejected(ResultCode.RUN_CONFLICT, f"already open with {self.state.settings}")
         return _OK
 
     def _submit(self, command: SubmitStep) -> LedgerOutcome:
         digest = _digest(command)
-        known = self.state.steps.get(command.step)
-        if known is not None:
-            if known.digest == digest:
+        submitted = self.state.steps.get(command.step)
+        if submitted is not None:
+            if submitted.digest == digest:
                 return _OK
-            return _refused(ResultCode.STEP_CONFLICT, f"step {command.step} has other prompts")
-        names = [prompt.prompt for prompt in command.prompts]
-        if len(set(names)) != len(names):
-            return _refused(ResultCode.STEP_CONFLICT, "prompt identifiers are not unique")
+            return _rejected(
+                ResultCode.STEP_CONFLICT, f"step {command.step} was submitted with other prompts"
+            )
+        prompt_ids = [prompt.prompt for prompt in command.prompts]
+        if len(set(prompt_ids)) != len(prompt_ids):
+            return _rejected(ResultCode.STEP_CONFLICT, "prompt identifiers are not unique")
         slots = [
             SlotState(Slot(command.step, prompt.prompt, index))
             for prompt in command.prompts
@@ -190,40 +190,40 @@
     def _commit(self, sample: Sample, settings: RunSettings) -> LedgerOutcome:
         step = self.state.steps.get(sample.slot.step)
         if step is None:
-            return _refused(ResultCode.STEP_UNKNOWN, str(sample.slot))
+            return _rejected(ResultCode.STEP_UNKNOWN, str(sample.slot))
         if step.is_whole:
-            return self._duplicate(sample)
+            return self._reject_duplicate(sample)
         position = self._position(step, sample.slot)
         if position is None:
-            return _refused(ResultCode.UNKNOWN_SLOT, str(sample.slot))
+            return _rejected(ResultCode.UNKNOWN_SLOT, str(sample.slot))
         slot = step.slots[position]
         if slot.status is not SlotStatus.OPEN:
-            return _OK if slot.sample == sample else self._duplicate(sample)
+            return _OK if slot.sample == sample else self._reject_duplicate(sample)
         checked = check_spans(sample.spans, sample.num_tokens)
         if not is_successful(checked):
-            return _refused(ResultCode.SAMPLE_SPANS_INVALID, str(sample.slot))
+            return _rejected(ResultCode.SAMPLE_SPANS_INVALID, str(sample.slot))
         if self._is_stale(sample, settings):
-            return _refused(ResultCode.SAMPLE_STALE, str(sample.slot))
+            return _rejected(ResultCode.SAMPLE_STALE, str(sample.slot))
         slot.status = SlotStatus.COMMITTED
         slot.sample = sample
         step.commit_order.append(position)
-        self._note_length(step, sample)
+        self._record_length(step, sample)
         return _OK
 
-    def _note_length(self, step: StepState, sample: Sample) -> None:
+    def _record_length(self, step: StepState, sample: Sample) -> None:
         for prompt in step.prompts:
             if prompt.prompt == sample.slot.prompt:
                 self.history.note(prompt.text, sample.num_tokens)
                 return
 
-    def _duplicate(self, sample: Sample) -> LedgerOutcome:
+    def _reject_duplicate(self, sample: Sample) -> LedgerOutcome:
         self.state.num_duplicates += 1
-        return _refused(ResultCode.SLOT_TAKEN, str(sample.slot))
+        return _rejected(ResultCode.SLOT_TAKEN, str(sample.slot))
 
     def _hand_over(self, command: HandOver, settings: RunSettings) -> LedgerOutcome:
         step = self.state.steps.get(command.step)
         if step is None:
-            return _refused(ResultCode.STEP_UNKNOWN, str(command.step))
+            return _rejected(ResultCode.STEP_UNKNOWN, str(command.step))
         batch = step.commit_order[: command.max_samples]
         del step.commit_order[: command.max_samples]
         num_voided = 0
@@ -252,8 +252,8 @@
 
     def _announce(self, version: int) -> LedgerOutcome:
         if version < self.state.trainer_version:
-            detail = f"{version} is below {self.state.trainer_version}"
-            return _refused(ResultCode.VERSION_REGRESSED, detail)
+            detail = f"version {version} is below version {self.state.trainer_version}"
+            return _rejected(ResultCode.VERSION_REGRESSED, detail)
         if version > self.state.trainer_version:
             self.state.num_whole_unannounced = 0
         self.state.trainer_version = version
@@ -261,8 +261,8 @@
 
     def _acknowledge(self, cursor: int) -> LedgerOutcome:
         if cursor > self.state.last_cursor:
-            detail = f"{cursor} is beyond {self.state.last_cursor}"
-            return _refused(ResultCode.CURSOR_INVALID, detail)
+            detail = f"cursor {cursor} is beyond the last cursor {self.state.last_cursor}"
+            return _rejected(ResultCode.CURSOR_INVALID, detail)
         num_acknowledged = cursor - self.state.acknowledged
         if num_acknowledged > 0:
             del self.state.handed_over[:num_acknowledged]
@@ -272,19 +272,22 @@
     # -- reads ------------------------------------------------------------------------------
 
     def handed_over_after(self, cursor: int, max_samples: int) -> list[HandedSample]:
-        """Return samples after ``cursor``, oldest first; never changes for a given cursor."""
+        """Return up to ``max_samples`` samples after ``cursor``, in cursor order.
+
+        Repeated reads of a cursor return the same samples until they are acknowledged.
+        """
         start = max(0, cursor - self.state.acknowledged)
         return self.state.handed_over[start : start + max_samples]
 
     def open_slots(self, step: int) -> list[SlotState]:
-        """Return the slots of a step that need a sample."""
+        """Return the open slots of a step; empty if the step is unknown."""
         state = self.state.steps.get(step)
         if state is None:
             return []
         return [slot for slot in state.slots if slot.status is SlotStatus.OPEN]
 
     def is_open(self, slot: Slot) -> bool:
-        """Whether a slot needs a sample."""
+        """Whether a slot is open."""
         step = self.state.steps.get(slot.step)
         if step is None or step.is_whole:
             return False
@@ -304,5 +307,5 @@
 
 
 def _digest(command: SubmitStep) -> int:
-    # One bit less keeps the value a signed 64-bit integer.
+    # Shifted to fit a signed 64-bit integer.
     return xxhash.xxh64_intdigest(codec.encode(command)) >> 1
--- a/src/hollowrack/rollout/lengths.py
+++ b/src/hollowrack/rollout/lengths.py
@@ -1,4 +1,4 @@
-"""How long answers were, to expect how long they will be."""
+"""Answer length estimates, based on the lengths of finished samples."""
 
 from dataclasses import dataclass, field
 
@@ -7,11 +7,11 @@
 
 @dataclass
 class LengthHistory:
-    """Running estimate of answer lengths per prompt text, in tokens.
+    """Exponential moving averages of answer lengths, in tokens, per prompt text and overall.
 
     Attributes:
-        smoothing: Weight of the newest length.
-        num_noted: Lengths taken in so far.
+        smoothing: Weight of a new length in the moving averages.
+        num_noted: Number of recorded lengths.
     """
 
     smoothing: float = 0.3
@@ -20,16 +20,16 @@
     _overall: float | None = None
 
     def note(self, prompt_text: str, num_tokens: int) -> None:
-        """Take in the length of a finished sample."""
+        """Record the length of a finished sample."""
         self.num_noted += 1
-        known = self._estimates.get(prompt_text, float(num_tokens))
-        self._estimates[prompt_text] = known + self.smoothing * (num_tokens - known)
+        estimate = self._estimates.get(prompt_text, float(num_tokens))
+        self._estimates[prompt_text] = estimate + self.smoothing * (num_tokens - estimate)
         overall = self._overall if self._overall is not None else float(num_tokens)
         self._overall = overall + self.smoothing * (num_tokens - overall)
 
     def expected(self, prompt: Prompt) -> float:
-        """Expected length of an answer, in tokens."""
-        known = self._estimates.get(prompt.text)
-        if known is not None:
-            return known
+        """Return the expected answer length, in tokens; an unknown prompt gets the average."""
+        estimate = self._estimates.get(prompt.text)
+        if estimate is not None:
+            return estimate
         return min(float(prompt.max_tokens), self._overall or float(prompt.max_tokens))
--- a/src/hollowrack/rollout/scheduling.py
+++ b/src/hollowrack/rollout/scheduling.py
@@ -1,8 +1,8 @@
-"""Which open slots to generate next: pure decisions over the ledger's state.
+"""Rollout scheduler: selects the open sample slots to generate next, as a pure function.
 
-The trainer is kept from waiting by starting the longest samples first and by working on later steps
-while the last samples of the present one finish. A later step is started only if its samples can
-still be within the staleness bound when the trainer gets there.
+To reduce the trainer's idle time, the longest samples start first, and samples of later steps start
+while the last samples of the current step finish. A later step starts only if its samples can still
+be within the staleness bound when the trainer reaches it.
 """
 
 from collections.abc import Iterable
@@ -15,12 +15,13 @@
 
 @dataclass(frozen=True)
 class Dispatch:
-    """One slot to be generated now.
+    """A sample slot to generate now.
 
     Attributes:
-        slot: The slot.
-        prompt: Its prompt.
-        min_weight_version: Lowest version whose sample would be within the bound on time.
+        slot: The sample slot.
+        prompt: Prompt of the slot.
+        min_weight_version: Lowest weight version whose sample is within the staleness bound when
+            the trainer reaches the step.
     """
 
     slot: Slot
@@ -29,7 +30,7 @@
 
 
 def current_step(state: LedgerState) -> int | None:
-    """Return the first step that is not whole: the one the trainer is waiting for."""
+    """Return the first incomplete step, for which the trainer waits; ``None`` if there is none."""
     return min((number for number, step in state.steps.items() if not step.is_whole), default=None)
 
 
@@ -39,44 +40,46 @@
     history: LengthHistory,
     max_running: int,
 ) -> list[Dispatch]:
-    """Return the slots to start, most urgent first, so that at most ``max_running`` run.
+    """Return the slots to start, in order of urgency, so that at most ``max_running`` run.
 
-    Steps go in order; within a step the longest expected answers go first, since the step is whole
-    only when its last sample is. A step ``n`` ahead of the present one is trained on ``n`` versions
-    later, so its samples must start that much fresher.
+    Slots are ordered by step and then by expected answer length, longest first. A step ``n`` ahead
+    of the current one is trained on ``n`` versions later, so its minimum weight version is higher
+    by ``n``.
     """
     if state.settings is None:
         return []
-    in_progress = set(running)
-    num_free = max_running - len(in_progress)
+    running_slots = set(running)
+    num_available = max_running - len(running_slots)
     first_step = current_step(state)
     dispatches: list[Dispatch] = []
-    bound = state.settings.max_staleness_versions
-    # While the trainer trains a whole step, the version it will announce is one ahead of the last.
+    max_staleness = state.settings.max_staleness_versions
+    # While the trainer trains on a complete step, its next version has not been announced yet.
     num_pending_versions = min(1, state.num_whole_unannounced)
     for number in sorted(state.steps):
-        if num_free <= 0 or first_step is None:
+        if num_available <= 0 or first_step is None:
             break
         num_versions_ahead = number - first_step + num_pending_versions
-        if number > first_step and num_versions_ahead > bound:
+        if number > first_step and num_versions_ahead > max_staleness:
             break
-        # Never more than is announced: a trainer may announce less often than it steps.
-        min_version = min(state.trainer_version, state.trainer_version + num_versions_ahead - bound)
-        open_slots = _open_slots(state, number, in_progress)
+        # Capped at the announced version: a trainer may announce less often than once per step.
+        min_version = min(
+            state.trainer_version, state.trainer_version + num_versions_ahead - max_staleness
+        )
+        open_slots = _open_slots(state, number, running_slots)
         open_slots.sort(key=lambda entry: -history.expected(entry[1]))
-        for slot, prompt in open_slots[:num_free]:
+        for slot, prompt in open_slots[:num_available]:
             dispatches.append(Dispatch(slot, prompt, max(0, min_version)))
-        num_free = max_running - len(in_progress) - len(dispatches)
+        num_available = max_running - len(running_slots) - len(dispatches)
     return dispatches
 
 
 def _open_slots(
-    state: LedgerState, number: int, in_progress: set[Slot]
+    state: LedgerState, number: int, running_slots: set[Slot]
 ) -> list[tuple[Slot, Prompt]]:
     step = state.steps[number]
     prompts = {prompt.prompt: prompt for prompt in step.prompts}
     return [
         (entry.slot, prompts[entry.slot.prompt])
         for entry in step.slots
-        if entry.status is SlotStatus.OPEN and entry.slot not in in_progress
+        if entry.status is SlotStatus.OPEN and entry.slot not in running_slots
     ]
--- a/src/hollowrack/rollout/service.py
+++ b/src/hollowrack/rollout/service.py
@@ -1,4 +1,4 @@
-"""The trainers' requests on any node: carried out here or passed to the ledger's leader."""
+"""Run service: handles trainers' requests, locally or by forwarding to the ledger's leader."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,14 +26,15 @@
 
 
 class RunService:
-    """All runs as one node sees them.
+    """Handles trainers' requests and runs the coordinators of the runs that this node leads.
 
     Args:
-        node: This node.
-        links: How to reach other nodes.
-        context: What coordinators need.
-        training_room: Returns the share of an engine's slots training may take, by model.
-        on_version: Called with run, model and trainer's version while this node leads a run.
+        node: Name of this node.
+        links: Forwards requests to other nodes.
+        context: Components of the node that coordinators use.
+        training_room: Returns the fraction of an engine's slots that training may use, by model.
+        on_version: Called with run, model and trainer's version in every reconciliation of a run
+            that this node leads.
     """
 
     def __init__(
@@ -61,7 +62,7 @@
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop coordinating; other nodes take the runs over."""
+        """Stop the coordinators; the next leaders take over the runs."""
         await cancel_all(self._task)
         self._coordinators = {}
 
@@ -89,7 +90,7 @@
         coordinator.reconcile()
 
     def note_running(self, running: RunningSlots) -> None:
-        """Take in what a node runs; every member of the ledger does, in case it leads next."""
+        """Record a report; all members of the ledger's group do, as any may be the next leader."""
         if run_group(running.run) in self._host.groups:
             self._running_table(running.run).note(running.node, running.slots)
 
@@ -99,14 +100,14 @@
     # -- commands ---------------------------------------------------------------------------
 
     async def open(self, run: str, command: OpenRun) -> Result[LedgerOutcome, Problem]:
-        """Open a run, creating its group if need be."""
+        """Open a run and create its replicated group if it does not exist."""
         ensured = await self._groups.ensure(run_group(run))
         if isinstance(ensured, Failure):
             return ensured
         return await self.execute(run, command)
 
     async def execute(self, run: str, command: LedgerCommand) -> Result[LedgerOutcome, Problem]:
-        """Commit a command; an outcome that is not ``OK`` is returned as a failure."""
+        """Commit a command; an outcome other than ``OK`` is returned as a failure."""
         group = run_group(run)
         found = await self._groups.find(group)
         if isinstance(found, Failure):
@@ -118,7 +119,7 @@
     # -- reads ------------------------------------------------------------------------------
 
     async def read_samples(self, request: ReadSamples) -> Result[Samples, Problem]:
-        """Long poll for samples at the ledger's leader; ends early if this node stops."""
+        """Long poll for samples at the ledger's leader; ``STOPPING`` once this node stops."""
         poll = asyncio.create_task(
             self._at_leader(request.run, request, request.wait_s + FORWARD_MARGIN_S)
         )
@@ -133,18 +134,18 @@
         return Failure(Problem(ResultCode.STOPPING, "this node is stopping", request.run, 0.0))
 
     async def read_status(self, request: ReadRunStatus) -> Result[RunStatus, Problem]:
-        """Read a run's status at the ledger's leader."""
+        """Read the status of a run from the ledger's leader."""
         return await self._at_leader(request.run, request, FORWARD_MARGIN_S)
 
     async def _at_leader(
         self, run: str, request: ReadSamples | ReadRunStatus, timeout_s: float
     ) -> Result[Any, Problem]:
-        async def ask(node: str) -> Result[Any, Problem]:
+        async def read_at(node: str) -> Result[Any, Problem]:
             if node != self._node:
                 return await self._links.request(node, request, timeout_s)
             return await result_of(self.answer(request))
 
-        result = await self._groups.at_leader(run_group(run), ask, FIND_LEADER_TIMEOUT_S)
+        result = await self._groups.at_leader(run_group(run), read_at, FIND_LEADER_TIMEOUT_S)
         if isinstance(result, Failure):
             return _unknown_run(run, result.failure())
         return result
@@ -165,7 +166,7 @@
 
 def _unknown_run(run: str, problem: Problem) -> Failure[Problem]:
     if problem.code is ResultCode.GROUP_UNKNOWN:
-        return Failure(Problem(ResultCode.UNKNOWN_RUN, "the run was never opened", run))
+        return Failure(Problem(ResultCode.UNKNOWN_RUN, "the run has not been opened", run))
     return Failure(problem)
 
 
--- a/src/hollowrack/rollout/trainer_messages.py
+++ b/src/hollowrack/rollout/trainer_messages.py
@@ -1,4 +1,4 @@
-"""Requests of trainers as they pass from the node that was asked to the ledger's leader."""
+"""Trainer requests that a node forwards to the leader of the run's ledger."""
 
 from dataclasses import dataclass
 
@@ -13,10 +13,10 @@
 
     Attributes:
         run: Name of the run.
-        step: The step the trainer is collecting.
-        cursor: The last cursor the trainer has.
-        max_samples: Most samples wanted.
-        wait_s: Longest wait for the first one, in seconds.
+        step: The step to read.
+        cursor: Cursor of the last sample that the trainer has received.
+        max_samples: Maximum number of samples to return.
+        wait_s: Timeout of the wait for the first sample, in seconds.
     """
 
     run: str
@@ -29,12 +29,12 @@
 @message("runs.samples")
 @dataclass(frozen=True)
 class Samples:
-    """Answer to :class:`ReadSamples`.
+    """Reply to :class:`ReadSamples`.
 
     Attributes:
-        samples: Samples after the cursor, in hand-over order.
-        cursor: Cursor of the last one, or the given cursor if there is none.
-        num_remaining: Slots of the step that were not handed over yet.
+        samples: Samples after the requested cursor, in hand-over order.
+        cursor: Cursor of the last sample, or the requested cursor if there is none.
+        num_remaining: Sample slots of the step that have not been handed over.
     """
 
     samples: tuple[HandedSample, ...]
@@ -45,14 +45,14 @@
 @message("runs.read_status")
 @dataclass(frozen=True)
 class ReadRunStatus:
-    """Asks for a run's status."""
+    """Request for the status of a run; the reply is :class:`RunStatus`."""
 
     run: str
 
 
 @dataclass(frozen=True)
 class StepStatus:
-    """Progress of one step."""
+    """Progress of one step, in samples."""
 
     step: int
     num_slots: int
@@ -63,18 +63,18 @@
 @message("runs.status")
 @dataclass(frozen=True)
 class RunStatus:
-    """Status of a run as its leader knows it.
+    """Status of a run, reported by the leader of its ledger.
 
     Attributes:
         run: Name of the run.
         leader: Node that leads the ledger.
-        settings: As opened.
-        trainer_version: Last announced version.
+        settings: Settings with which the run was opened.
+        trainer_version: Last announced weight version.
         last_cursor: Cursor of the last sample handed over.
-        acknowledged: Cursor up to which the trainer has everything.
+        acknowledged: Last cursor that the trainer has acknowledged.
         num_voided: Samples voided as stale at hand-over.
-        num_duplicates: Commits that lost to an earlier one.
-        steps: Steps that are not whole, and the last whole one.
+        num_duplicates: Commits rejected because their slot was filled.
+        steps: Incomplete steps and the last complete one.
     """
 
     run: str
