--- a/src/hollowrack/api/__init__.py
+++ b/src/hollowrack/api/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP faces of a node: callers, trainers and operators."""
+"""HTTP APIs of a node for callers, trainers and operators."""
--- a/src/hollowrack/api/callers.py
+++ b/src/hollowrack/api/callers.py
@@ -1,7 +1,7 @@
-"""The callers' face: OpenAI-style completions, service pools, reading answers again.
+"""Callers' API: OpenAI-compatible completions, service pools and lookup of finished answers.
 
-Headers: ``X-Request-Id`` names a request (drawn if absent), ``Idempotency-Key`` names one that is
-unsafe to repeat, ``X-Tenant`` says whose it is, ``X-Timeout-S`` how long the caller will wait.
+Headers: ``X-Request-Id`` identifies a request (generated if absent), ``Idempotency-Key`` identifies
+a request that must run at most once, ``X-Tenant`` is its tenant and ``X-Timeout-S`` its timeout.
 """
 
 import asyncio
@@ -67,15 +67,15 @@
     stream: bool = False
 
     def prompt(self) -> str:
-        """The chat as one text."""
+        """Return the messages as one prompt."""
         return "".join(f"<{entry.role}>{entry.content}" for entry in self.messages) + "<assistant>"
 
 
 class _CallHeaders:
-    """The checked headers of a call.
+    """The validated headers of a call.
 
     Raises:
-        ValueError: Naming the bad header.
+        ValueError: If a header is invalid; the message names it.
     """
 
     def __init__(self, request: Request) -> None:
@@ -84,7 +84,9 @@
         self.is_unsafe = key is not None
         self.request_id = key or headers.get("X-Request-Id") or uuid.uuid4().hex
         if len(self.request_id) > MAX_IDENTIFIER_LENGTH:
-            raise ValueError(f"the request identifier is over {MAX_IDENTIFIER_LENGTH} characters")
+            raise ValueError(
+                f"the request identifier is longer than {MAX_IDENTIFIER_LENGTH} characters"
+            )
         self.tenant = headers.get("X-Tenant", DEFAULT_TENANT)[:MAX_IDENTIFIER_LENGTH]
         self.timeout_s = float(headers.get("X-Timeout-S", DEFAULT_TIMEOUT_S))
         if not math.isfinite(self.timeout_s) or not 0 < self.timeout_s <= MAX_TIMEOUT_S:
@@ -92,12 +94,12 @@
 
 
 class CallersFace:
-    """Routes of the callers' listener.
+    """Handlers of the callers' API.
 
     Args:
         gateway: Runs the requests.
-        metrics: The node's metrics.
-        max_body_bytes: Longest accepted body.
+        metrics: Metrics of the node.
+        max_body_bytes: Maximum size of a request body.
     """
 
     def __init__(self, gateway: Gateway, metrics: NodeMetrics, max_body_bytes: int) -> None:
@@ -106,82 +108,82 @@
         self._max_body_bytes = max_body_bytes
 
     def routes(self) -> list[Route]:
-        """Return the routes."""
+        """Return the routes of the API."""
         return [
             Route("/v1/completions", self._completions, methods=["POST"]),
             Route("/v1/chat/completions", self._chat, methods=["POST"]),
             Route("/v1/models", self._models, methods=["GET"]),
-            Route("/v1/requests/{request_id:path}", self._read, methods=["GET"]),
+            Route("/v1/requests/{request_id:path}", self._read_answer, methods=["GET"]),
             Route("/v1/services/{pool}/{path:path}", self._service, methods=SERVICE_METHODS),
         ]
 
     async def _completions(self, request: Request) -> Response:
         body = await read_json(request, CompletionBody, self._max_body_bytes)
         if isinstance(body, Failure):
-            return self._refuse("completions", body.failure())
-        parsed = body.unwrap()
-        return await self._complete(request, parsed, parsed.prompt, is_chat=False)
+            return self._problem_response("completions", body.failure())
+        values = body.unwrap()
+        return await self._complete(request, values, values.prompt, is_chat=False)
 
     async def _chat(self, request: Request) -> Response:
         body = await read_json(request, ChatBody, self._max_body_bytes)
         if isinstance(body, Failure):
-            return self._refuse("completions", body.failure())
-        parsed = body.unwrap()
-        return await self._complete(request, parsed, parsed.prompt(), is_chat=True)
+            return self._problem_response("completions", body.failure())
+        values = body.unwrap()
+        return await self._complete(request, values, values.prompt(), is_chat=True)
 
     async def _complete(
         self, request: Request, body: CompletionBody | ChatBody, prompt: str, is_chat: bool
     ) -> Response:
         headers = self._headers(request)
         if isinstance(headers, Failure):
-            return self._refuse("completions", headers.failure())
-        checked = headers.unwrap()
+            return self._problem_response("completions", headers.failure())
+        call_headers = headers.unwrap()
         call = CompletionCall(
-            request_id=checked.request_id,
-            tenant=checked.tenant,
+            request_id=call_headers.request_id,
+            tenant=call_headers.tenant,
             model=body.model,
             prompt=prompt,
             max_tokens=body.max_tokens,
             seed=body.seed,
-            timeout_s=checked.timeout_s,
-            is_unsafe=checked.is_unsafe,
+            timeout_s=call_headers.timeout_s,
+            is_unsafe=call_headers.is_unsafe,
             is_chat=is_chat,
         )
         if body.stream:
             return CompletionStream(call, self._gateway, self._metrics)
         started_s = now_s()
         result = await self._gateway.complete(call)
-        return self._answer("completions", call.request_id, started_s, result)
+        return self._response("completions", call.request_id, started_s, result)
 
     async def _service(self, request: Request) -> Response:
         headers = self._headers(request)
         if isinstance(headers, Failure):
-            return self._refuse("services", headers.failure())
+            return self._problem_response("services", headers.failure())
         body = await read_body(request, self._max_body_bytes)
         if isinstance(body, Failure):
-            return self._refuse("services", body.failure())
-        checked = headers.unwrap()
+            return self._problem_response("services", body.failure())
+        call_headers = headers.unwrap()
         path = request.path_params["path"]
         if request.url.query:
             path = f"{path}?{request.url.query}"
         call = ServiceCall(
-            request_id=checked.request_id,
-            tenant=checked.tenant,
+            request_id=call_headers.request_id,
+            tenant=call_headers.tenant,
             pool=request.path_params["pool"],
             method=request.method,
             path=path,
             headers=request.headers,
             body=body.unwrap(),
-            is_unsafe=checked.is_unsafe,
+            is_unsafe=call_headers.is_unsafe,
         )
         started_s = now_s()
         result = await self._gateway.call_service(call)
-        return self._answer("services", call.request_id, started_s, result)
+        return self._response("services", call.request_id, started_s, result)
 
-    async def _read(self, request: Request) -> Response:
+    async def _read_answer(self, request: Request) -> Response:
         request_id = request.path_params["request_id"]
         result = await self._gateway.read(request_id)
-        return self._answer("requests", request_id, now_s(), result)
+        return self._response("requests", request_id, now_s(), result)
 
     async def _models(self, request: Request) -> Response:
         del request
@@ -196,11 +198,11 @@
         except ValueError as error:
             return Failure(Problem(ResultCode.BAD_REQUEST, f"{error}.", "headers"))
 
-    def _answer(
+    def _response(
         self, face: str, request_id: str, started_s: float, result: Result[RecordedAnswer, Problem]
     ) -> Response:
         if isinstance(result, Failure):
-            return self._refuse(face, result.failure(), request_id)
+            return self._problem_response(face, result.failure(), request_id)
         answer = result.unwrap()
         self._metrics.requests.labels(face=face, code=ResultCode.OK.name).inc()
         self._metrics.request_seconds.labels(face=face).observe(now_s() - started_s)
@@ -211,7 +213,7 @@
             headers={"X-Request-Id": request_id},
         )
 
-    def _refuse(self, face: str, problem: Problem, request_id: str = "") -> Response:
+    def _problem_response(self, face: str, problem: Problem, request_id: str = "") -> Response:
         self._metrics.requests.labels(face=face, code=problem.code.name).inc()
         response = problem_response(problem)
         if request_id:
@@ -229,8 +231,8 @@
 class CompletionStream(Response):
     """Streams a completion as server-sent events.
 
-    The stream ends with an event that holds the number of tokens and the version spans, then
-    ``[DONE]``; a stream without ``[DONE]`` is incomplete. A caller that goes away cancels the work.
+    The last event before ``[DONE]`` contains the number of tokens and the version spans. A stream
+    without ``[DONE]`` is incomplete. The generation is cancelled if the caller disconnects.
     """
 
     def __init__(self, call: CompletionCall, gateway: Gateway, metrics: NodeMetrics) -> None:
@@ -242,54 +244,54 @@
         self._num_tokens = 0
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Run the generation while the caller is there."""
+        """Run the generation until it ends or the caller disconnects."""
         started_s = now_s()
-        work = asyncio.create_task(self._run(send))
-        watch = asyncio.create_task(_wait_for_disconnect(receive))
-        done, _ = await asyncio.wait({work, watch}, return_when=asyncio.FIRST_COMPLETED)
-        watch.cancel()
-        if work not in done:
-            await cancel_all(work)
+        generation = asyncio.create_task(self._run(send))
+        disconnect = asyncio.create_task(_wait_for_disconnect(receive))
+        done, _ = await asyncio.wait({generation, disconnect}, return_when=asyncio.FIRST_COMPLETED)
+        disconnect.cancel()
+        if generation not in done:
+            await cancel_all(generation)
             self._metrics.requests.labels(face="completions", code="CALLER_GONE").inc()
             return
-        code = work.result()
+        code = generation.result()
         self._metrics.requests.labels(face="completions", code=code.name).inc()
         self._metrics.request_seconds.labels(face="completions").observe(now_s() - started_s)
 
     async def _run(self, send: Send) -> ResultCode:
         async def on_chunks(chunks: list[TokenChunk]) -> None:
-            await self._start(send)
+            await self._send_start(send)
             events = b"".join(self._event(chunk) for chunk in chunks)
-            await send(_body(events, more=True))
+            await send(_body_message(events, more=True))
 
         result = await self._gateway.complete(self._call, on_chunks)
         if isinstance(result, Success):
-            await self._finish(send, result.unwrap())
+            await self._send_answer(send, result.unwrap())
             return ResultCode.OK
         problem = result.failure()
         if self._is_started:
             event = b"event: error\ndata: " + json.dumps(problem_body(problem)).encode() + b"\n\n"
-            await send(_body(event, more=False))
+            await send(_body_message(event, more=False))
         else:
-            await self._refuse(send, problem)
+            await self._send_problem(send, problem)
         return problem.code
 
-    async def _start(self, send: Send) -> None:
+    async def _send_start(self, send: Send) -> None:
         if not self._is_started:
             self._is_started = True
             request_id = (b"x-request-id", self._call.request_id.encode())
-            await send(_start(200, [*_STREAM_HEADERS, request_id]))
+            await send(_start_message(200, [*_STREAM_HEADERS, request_id]))
 
-    async def _finish(self, send: Send, answer: RecordedAnswer) -> None:
+    async def _send_answer(self, send: Send, answer: RecordedAnswer) -> None:
         if self._num_tokens == 0:
-            # The answer of another attempt: it comes whole instead of token by token.
-            await self._start(send)
-        await send(_body(b"data: " + answer.body + b"\n\n" + _DONE_EVENT, more=False))
+            # The stored answer of another attempt is sent in one event.
+            await self._send_start(send)
+        await send(_body_message(b"data: " + answer.body + b"\n\n" + _DONE_EVENT, more=False))
 
-    async def _refuse(self, send: Send, problem: Problem) -> None:
+    async def _send_problem(self, send: Send, problem: Problem) -> None:
         response = problem_response(problem)
-        await send(_start(response.status_code, response.raw_headers))
-        await send(_body(bytes(response.body), more=False))
+        await send(_start_message(response.status_code, response.raw_headers))
+        await send(_body_message(bytes(response.body), more=False))
 
     def _event(self, chunk: TokenChunk) -> bytes:
         self._num_tokens += chunk.num_tokens
@@ -302,11 +304,11 @@
         ).encode()
 
 
-def _start(status: int, headers: list[tuple[bytes, bytes]]) -> Message:
+def _start_message(status: int, headers: list[tuple[bytes, bytes]]) -> Message:
     return {"type": "http.response.start", "status": status, "headers": headers}
 
 
-def _body(data: bytes, more: bool) -> Message:
+def _body_message(data: bytes, more: bool) -> Message:
     return {"type": "http.response.body", "body": data, "more_body": more}
 
 
--- a/src/hollowrack/api/guarded_protocol.py
+++ b/src/hollowrack/api/guarded_protocol.py
@@ -1,4 +1,4 @@
-"""HTTP connections that cannot be held open by sending slowly or not at all."""
+"""HTTP protocol with a read timeout, which protects a node against slow clients."""
 
 import asyncio
 import json
@@ -10,60 +10,60 @@
 
 
 class GuardedProtocol(HttpToolsProtocol):
-    """Closes a connection whose request is not read whole in time; answers 408 if it still can.
+    """Closes connections whose request is not complete within the read timeout.
 
-    Subclasses made by :func:`guarded_protocol` set the time.
+    Sends status 408 unless a response has started. :func:`guarded_protocol` sets the timeout.
     """
 
     read_timeout_s = 10.0
 
     def connection_made(self, transport: Any) -> None:
-        """Start waiting for the first request."""
+        """Start the read timer for the first request."""
         super().connection_made(transport)
-        self._guard: asyncio.TimerHandle | None = None
-        self._arm()
+        self._read_timer: asyncio.TimerHandle | None = None
+        self._start_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop waiting."""
-        self._disarm()
+        """Cancel the read timer."""
+        self._cancel_timer()
         super().connection_lost(exc)
 
     def on_message_begin(self) -> None:
-        """A request begins; it must be whole in time."""
+        """Start the read timer of a request."""
         super().on_message_begin()
-        self._arm()
+        self._start_timer()
 
     def on_message_complete(self) -> None:
-        """The request is whole."""
+        """Cancel the read timer of the complete request."""
         super().on_message_complete()
-        self._disarm()
+        self._cancel_timer()
 
-    def _arm(self) -> None:
-        self._disarm()
-        self._guard = self.loop.call_later(self.read_timeout_s, self._give_up)
+    def _start_timer(self) -> None:
+        self._cancel_timer()
+        self._read_timer = self.loop.call_later(self.read_timeout_s, self._on_read_timeout)
 
-    def _disarm(self) -> None:
-        if self._guard is not None:
-            self._guard.cancel()
-            self._guard = None
+    def _cancel_timer(self) -> None:
+        if self._read_timer is not None:
+            self._read_timer.cancel()
+            self._read_timer = None
 
-    def _give_up(self) -> None:
+    def _on_read_timeout(self) -> None:
         if self.transport.is_closing():
             return
         is_answering = self.cycle is not None and self.cycle.response_started
         if not is_answering:
-            self.transport.write(_too_slow_answer(self.read_timeout_s))
+            self.transport.write(_timeout_response(self.read_timeout_s))
         self.transport.close()
 
 
 def guarded_protocol(read_timeout_s: float) -> type[GuardedProtocol]:
-    """Return the protocol with its time, in seconds."""
+    """Return a protocol class with a read timeout, in seconds."""
     return type("GuardedProtocol", (GuardedProtocol,), {"read_timeout_s": read_timeout_s})
 
 
-def _too_slow_answer(read_timeout_s: float) -> bytes:
+def _timeout_response(read_timeout_s: float) -> bytes:
     problem = Problem(
-        ResultCode.CALLER_TOO_SLOW, f"the request was not read whole in {read_timeout_s:g} s"
+        ResultCode.CALLER_TOO_SLOW, f"the request was not complete after {read_timeout_s:g} s"
     )
     description = DESCRIPTIONS[problem.code]
     body = json.dumps(
--- a/src/hollowrack/api/operators.py
+++ b/src/hollowrack/api/operators.py
@@ -1,4 +1,4 @@
-"""The operators' face: status, metrics, decisions, bundles and planned stops."""
+"""Operators' API: status, metrics, decisions, bundles and draining."""
 
 import base64
 import binascii
@@ -23,7 +23,7 @@
 
 
 class SignedBundleBody(RequestBody):
-    """Body of ``POST /v1/bundle``; binary fields in base64."""
+    """Body of ``POST /v1/bundle``; document and signature in base64."""
 
     document: str
     signer: str
@@ -31,17 +31,18 @@
 
 
 class OperatorsFace:
-    """Routes of the operators' listener.
+    """Handlers of the operators' API.
 
     Args:
-        agent: The bundle in force.
-        store: Where bundles are accepted.
-        trusted_signers: Public keys of the signers.
-        decisions: The node's decisions.
-        metrics: The node's metrics.
-        status: Returns the node's status as JSON.
-        drain: Starts a planned stop.
-        mark_back_end: Marks a back end as leaving for the whole fleet; returns whether it is known.
+        agent: Applies accepted bundles on this node.
+        store: Store of the accepted bundles.
+        trusted_signers: Public keys of the signers, in hex, by name.
+        decisions: Log of the node's decisions.
+        metrics: Metrics of the node.
+        status: Returns the node's status as JSON values.
+        drain: Starts a planned stop of the node.
+        mark_back_end_leaving: Marks a back end as leaving in the whole fleet; returns whether
+            it is known.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         metrics: NodeMetrics,
         status: Callable[[], dict[str, Any]],
         drain: Callable[[], None],
-        mark_back_end: Callable[[str], bool],
+        mark_back_end_leaving: Callable[[str], bool],
     ) -> None:
         self._agent = agent
         self._store = store
@@ -62,15 +63,15 @@
         self._metrics = metrics
         self._status = status
         self._drain = drain
-        self._mark_back_end = mark_back_end
+        self._mark_back_end_leaving = mark_back_end_leaving
 
     def routes(self) -> list[Route]:
-        """Return the routes."""
+        """Return the routes of the API."""
         return [
             Route("/v1/status", self._read_status, methods=["GET"]),
             Route("/metrics", self._read_metrics, methods=["GET"]),
             Route("/v1/decisions", self._read_decisions, methods=["GET"]),
-            Route("/v1/bundle", self._propose, methods=["POST"]),
+            Route("/v1/bundle", self._submit_bundle, methods=["POST"]),
             Route("/v1/back-ends/{address}/leaving", self._mark_leaving, methods=["POST"]),
             Route("/v1/drain", self._start_drain, methods=["POST"]),
         ]
@@ -91,7 +92,7 @@
             records = self._decisions.latest(MAX_DECISIONS)
         return JSONResponse([record.as_json() for record in records])
 
-    async def _propose(self, request: Request) -> Response:
+    async def _submit_bundle(self, request: Request) -> Response:
         body = await read_json(request, SignedBundleBody, MAX_BUNDLE_BYTES)
         if isinstance(body, Failure):
             return problem_response(body.failure())
@@ -115,7 +116,7 @@
 
     async def _mark_leaving(self, request: Request) -> Response:
         address = request.path_params["address"]
-        if not self._mark_back_end(address):
+        if not self._mark_back_end_leaving(address):
             detail = f"{address} is in no machine list that this node has read"
             return problem_response(Problem(ResultCode.UNKNOWN_BACK_END, detail, "address"))
         return JSONResponse({"code": int(ResultCode.OK)})
--- a/src/hollowrack/api/responses.py
+++ b/src/hollowrack/api/responses.py
@@ -1,4 +1,4 @@
-"""How problems appear over HTTP, and how JSON bodies are read and checked."""
+"""HTTP error responses, and reading and validation of request bodies."""
 
 import json
 import math
@@ -16,13 +16,13 @@
 
 
 class RequestBody(BaseModel):
-    """Base of all request bodies: unknown fields are errors."""
+    """Base class of all request bodies; unknown fields are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 def problem_body(problem: Problem) -> dict[str, Any]:
-    """Return the JSON form of a problem."""
+    """Return the JSON body of an error response."""
     description = DESCRIPTIONS[problem.code]
     return {
         "error": {
@@ -38,7 +38,7 @@
 
 
 def problem_response(problem: Problem) -> Response:
-    """Return the HTTP response of a problem."""
+    """Return the error response to a problem."""
     headers = {}
     if problem.retry_after_s is not None:
         headers["Retry-After"] = str(max(1, math.ceil(problem.retry_after_s)))
@@ -51,26 +51,28 @@
 
 
 async def internal_error_response(request: Request, error: Exception) -> Response:
-    """Answer a request on which the program failed."""
-    logging.error("request to %s failed", request.url.path, exc_info=error)
-    return problem_response(Problem(ResultCode.INTERNAL_ERROR, "the request failed here"))
+    """Log an unhandled exception and return ``INTERNAL_ERROR``."""
+    logging.error("unhandled exception in request to %s", request.url.path, exc_info=error)
+    return problem_response(
+        Problem(ResultCode.INTERNAL_ERROR, "unhandled exception while the request was handled")
+    )
 
 
 async def read_body(request: Request, max_bytes: int) -> Result[bytes, Problem]:
-    """Read a request's body; fails with ``BODY_TOO_LARGE`` before buffering more than the limit."""
+    """Read a request's body; fails with ``BODY_TOO_LARGE`` once it exceeds ``max_bytes``."""
     parts: list[bytes] = []
     num_bytes = 0
     async for part in request.stream():
         num_bytes += len(part)
         if num_bytes > max_bytes:
-            detail = f"the body is over {max_bytes} bytes"
+            detail = f"the body is larger than {max_bytes} bytes"
             return Failure(Problem(ResultCode.BODY_TOO_LARGE, detail, "body"))
         parts.append(part)
     return Success(b"".join(parts))
 
 
 def parse_body(data: bytes, body_type: type[Body]) -> Result[Body, Problem]:
-    """Parse and check a JSON body; fails with ``BAD_REQUEST`` and the field."""
+    """Parse and validate a JSON body; fails with ``BAD_REQUEST`` and the invalid field."""
     try:
         return Success(body_type.model_validate(json.loads(data)))
     except ValidationError as error:
@@ -84,6 +86,6 @@
 async def read_json(
     request: Request, body_type: type[Body], max_bytes: int
 ) -> Result[Body, Problem]:
-    """Read, parse and check a JSON body."""
+    """Read, parse and validate a JSON body; fails as :func:`read_body`, :func:`parse_body`."""
     data = await read_body(request, max_bytes)
     return data.bind(lambda raw: parse_body(raw, body_type))
--- a/src/hollowrack/api/server.py
+++ b/src/hollowrack/api/server.py
@@ -1,4 +1,4 @@
-"""Serves a Starlette application with uvicorn inside the node's own event loop."""
+"""HTTP server: runs an ASGI application with uvicorn in the current event loop."""
 
 import asyncio
 import contextlib
@@ -21,11 +21,11 @@
 
 
 class _EmbeddedServer(uvicorn.Server):
-    """A server that leaves signals to the node."""
+    """Uvicorn server that does not install signal handlers."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Do not touch the process's signal handlers."""
+        """Leave the signal handlers of the process unchanged."""
         yield
 
 
@@ -33,13 +33,13 @@
     """One HTTP listener.
 
     Args:
-        app: The application.
-        address: ``IP:PORT`` to listen on; port 0 takes a free one.
-        place: The settings key, for errors.
-        max_connections: Most connections at once; more are answered 503.
-        read_timeout_s: Longest time to read one request, in seconds.
-        idle_timeout_s: Longest rest of a kept connection, in seconds.
-        graceful_stop_s: Longest time that open requests have at a stop, in seconds.
+        app: The ASGI application.
+        address: ``IP:PORT`` to listen on; port 0 selects a free port.
+        place: Settings key of the address, reported in errors.
+        max_connections: Maximum number of connections; further ones receive status 503.
+        read_timeout_s: Timeout for reading one request, in seconds.
+        idle_timeout_s: Keep-alive timeout of idle connections, in seconds.
+        graceful_stop_s: Time for open requests to finish at a stop, in seconds.
     """
 
     def __init__(
@@ -73,20 +73,20 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start serving and return once connections are accepted."""
+        """Start the server; returns once it accepts connections."""
         self._task = asyncio.create_task(self._server.serve(sockets=[self._socket]))
         while not self._server.started and not self._task.done():  # noqa: ASYNC110 (no event)
             await asyncio.sleep(START_POLL_S)
 
     async def stop(self) -> None:
-        """Stop accepting, let open requests finish for a moment, then close."""
+        """Stop accepting connections, let open requests finish within the timeout, then close."""
         self._server.should_exit = True
         if self._task is not None:
             await asyncio.gather(self._task, return_exceptions=True)
         self._socket.close()
 
     async def abort(self) -> None:
-        """Close everything at once, as a crash would."""
+        """Close all connections immediately, without waiting for open requests."""
         self._server.should_exit = True
         self._server.force_exit = True
         if self._task is not None:
@@ -97,7 +97,7 @@
 def _bind(address: str, place: str) -> socket.socket:
     host, port = split_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    # asyncio turns Nagle's algorithm off only for sockets whose protocol says TCP.
+    # asyncio sets TCP_NODELAY only on sockets whose protocol is IPPROTO_TCP.
     listener = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
--- a/src/hollowrack/api/trainers.py
+++ b/src/hollowrack/api/trainers.py
@@ -1,4 +1,4 @@
-"""The trainers' face: runs, steps, samples. Every call is safe to repeat, at any node."""
+"""Trainers' API: runs, steps and samples. Calls are idempotent and may go to any node."""
 
 import json
 from collections.abc import Callable
@@ -73,11 +73,11 @@
 
 
 class TrainersFace:
-    """Routes of the trainers' face.
+    """Handlers of the trainers' API.
 
     Args:
-        runs: The runs of the fleet.
-        max_body_bytes: Longest body of the small calls.
+        runs: Handles the requests on runs.
+        max_body_bytes: Maximum size of request bodies other than steps.
     """
 
     def __init__(self, runs: RunService, max_body_bytes: int) -> None:
@@ -85,32 +85,32 @@
         self._max_body_bytes = max_body_bytes
 
     def routes(self) -> list[Route]:
-        """Return the routes."""
+        """Return the routes of the API."""
         return [
-            Route("/v1/runs", self._open, methods=["POST"]),
-            Route("/v1/runs/{run}", self._status, methods=["GET"]),
-            Route("/v1/runs/{run}/steps", self._submit, methods=["POST"]),
-            Route("/v1/runs/{run}/samples", self._samples, methods=["GET"]),
+            Route("/v1/runs", self._open_run, methods=["POST"]),
+            Route("/v1/runs/{run}", self._read_status, methods=["GET"]),
+            Route("/v1/runs/{run}/steps", self._submit_step, methods=["POST"]),
+            Route("/v1/runs/{run}/samples", self._read_samples, methods=["GET"]),
             Route("/v1/runs/{run}/acknowledge", self._acknowledge, methods=["POST"]),
-            Route("/v1/runs/{run}/version", self._version, methods=["POST"]),
+            Route("/v1/runs/{run}/version", self._announce_version, methods=["POST"]),
         ]
 
-    async def _open(self, request: Request) -> Response:
+    async def _open_run(self, request: Request) -> Response:
         body = await read_json(request, OpenRunBody, self._max_body_bytes)
         if isinstance(body, Failure):
             return problem_response(body.failure())
         values = body.unwrap()
         settings = RunSettings(values.model, values.max_staleness_versions, values.initial_version)
-        return _outcome(await self._runs.open(values.run, OpenRun(settings)))
+        return _outcome_response(await self._runs.open(values.run, OpenRun(settings)))
 
-    async def _submit(self, request: Request) -> Response:
+    async def _submit_step(self, request: Request) -> Response:
         body = await read_json(request, SubmitStepBody, MAX_STEP_BODY_BYTES)
         if isinstance(body, Failure):
             return problem_response(body.failure())
         values = body.unwrap()
         num_samples = sum(prompt.num_samples for prompt in values.prompts)
         if num_samples > MAX_STEP_SAMPLES:
-            detail = f"{num_samples} samples are over {MAX_STEP_SAMPLES}"
+            detail = f"{num_samples} samples in the step, limit {MAX_STEP_SAMPLES}"
             return problem_response(Problem(ResultCode.BAD_REQUEST, detail, "prompts"))
         prompts = tuple(
             Prompt(entry.prompt, entry.text, entry.num_samples, entry.max_tokens)
@@ -123,13 +123,13 @@
             request, AcknowledgeBody, lambda body: Acknowledge(body.cursor)
         )
 
-    async def _version(self, request: Request) -> Response:
+    async def _announce_version(self, request: Request) -> Response:
         return await self._execute_body(
             request, VersionBody, lambda body: AnnounceVersion(body.version)
         )
 
-    async def _samples(self, request: Request) -> Response:
-        parsed = _parse_read(request)
+    async def _read_samples(self, request: Request) -> Response:
+        parsed = _parse_read_samples(request)
         if isinstance(parsed, Problem):
             return problem_response(parsed)
         result = await self._runs.read_samples(parsed)
@@ -137,26 +137,26 @@
             return problem_response(result.failure())
         return _samples_response(result.unwrap())
 
-    async def _status(self, request: Request) -> Response:
+    async def _read_status(self, request: Request) -> Response:
         run = request.path_params["run"]
         result = await self._runs.read_status(ReadRunStatus(run))
         if isinstance(result, Failure):
             return problem_response(result.failure())
-        return _json(asdict(result.unwrap()))
+        return _json_response(asdict(result.unwrap()))
 
     async def _execute_body(
-        self, request: Request, body_type: type[Body], make: Callable[[Body], LedgerCommand]
+        self, request: Request, body_type: type[Body], make_command: Callable[[Body], LedgerCommand]
     ) -> Response:
         body = await read_json(request, body_type, self._max_body_bytes)
         if isinstance(body, Failure):
             return problem_response(body.failure())
-        return await self._execute(request, make(body.unwrap()))
+        return await self._execute(request, make_command(body.unwrap()))
 
     async def _execute(self, request: Request, command: LedgerCommand) -> Response:
-        return _outcome(await self._runs.execute(request.path_params["run"], command))
+        return _outcome_response(await self._runs.execute(request.path_params["run"], command))
 
 
-def _parse_read(request: Request) -> ReadSamples | Problem:
+def _parse_read_samples(request: Request) -> ReadSamples | Problem:
     query = request.query_params
     name = ""
     try:
@@ -171,21 +171,21 @@
     except (KeyError, ValueError):
         return Problem(ResultCode.BAD_REQUEST, f"query parameter {name!r} is not a number", name)
     if step < 0 or cursor < 0 or not 1 <= limit <= MAX_SAMPLES_PER_READ:
-        detail = f"step and cursor from 0, limit from 1 to {MAX_SAMPLES_PER_READ}"
+        detail = f"step and cursor must be >= 0, limit from 1 to {MAX_SAMPLES_PER_READ}"
         return Problem(ResultCode.BAD_REQUEST, detail, "query")
     if not 0 <= wait_s <= MAX_WAIT_S:
-        return Problem(ResultCode.BAD_REQUEST, f"from 0 to {MAX_WAIT_S}", "wait_s")
+        return Problem(ResultCode.BAD_REQUEST, f"wait_s must be from 0 to {MAX_WAIT_S}", "wait_s")
     return ReadSamples(request.path_params["run"], step, cursor, limit, wait_s)
 
 
-def _outcome(result: Result[LedgerOutcome, Problem]) -> Response:
+def _outcome_response(result: Result[LedgerOutcome, Problem]) -> Response:
     if isinstance(result, Failure):
         return problem_response(result.failure())
-    return _json({"code": int(ResultCode.OK)})
+    return _json_response({"code": int(ResultCode.OK)})
 
 
 def _samples_response(samples: Samples) -> Response:
-    return _json(
+    return _json_response(
         {
             "samples": [_sample_json(handed) for handed in samples.samples],
             "cursor": samples.cursor,
@@ -203,6 +203,6 @@
     }
 
 
-def _json(value: object) -> Response:
-    # Sorted keys: reading a cursor again gives the same bytes.
+def _json_response(value: object) -> Response:
+    # Sorted keys make_command repeated reads of a cursor byte-identical.
     return Response(json.dumps(value, sort_keys=True), media_type="application/json")
--- a/src/hollowrack/bundle/__init__.py
+++ b/src/hollowrack/bundle/__init__.py
@@ -1,1 +1,1 @@
-"""The signed, versioned document by which operators steer the fleet."""
+"""Bundles: signed, versioned configuration of the fleet by its operators."""
--- a/src/hollowrack/bundle/agent.py
+++ b/src/hollowrack/bundle/agent.py
@@ -1,4 +1,4 @@
-"""Keeps the accepted bundle in force on a node: from the store, from peers, never backwards."""
+"""Bundle agent: applies the newest accepted bundle, read from the store or pulled from peers."""
 
 import asyncio
 import random
@@ -29,7 +29,7 @@
 @message("bundle.fetch")
 @dataclass(frozen=True)
 class FetchBundle:
-    """Asks a node for the bundle it has in force, if its revision is at least the given one."""
+    """Request for a node's current bundle if its revision is at least ``min_revision``."""
 
     min_revision: int
 
@@ -38,14 +38,14 @@
 
 
 class BundleAgent:
-    """The bundle in force on one node.
+    """Maintains the current bundle of one node; its revision never decreases.
 
     Args:
-        store: Where bundles are accepted.
-        membership: Spreads the revision and reaches peers.
-        trusted_signers: Public keys of the signers by name.
-        decisions: Where decisions are recorded.
-        rng: Chooses peers to pull from.
+        store: Store of the accepted bundles.
+        membership: Gossips the revision and sends requests to peers.
+        trusted_signers: Public keys of the signers, in hex, by name.
+        decisions: Log of the decisions.
+        rng: Selects the peers to pull from.
     """
 
     def __init__(
@@ -64,41 +64,41 @@
         self._trusted_signers = trusted_signers
         self._decisions = decisions
         self._rng = rng
-        self._wanted_revision = 0
-        self._wake = asyncio.Event()
+        self._announced_revision = 0
+        self._pull_needed = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
         membership.on_fact.append(self._on_fact)
 
     @property
     def revision(self) -> int:
-        """The revision in force; 0 for none."""
+        """Revision of the current bundle; 0 if there is none."""
         return self.bundle.revision if self.bundle is not None else 0
 
     def start(self) -> None:
-        """Start watching the store and pulling from peers."""
+        """Start polling the store and pulling from peers."""
         self._tasks = [
-            asyncio.create_task(self._run_store()),
-            asyncio.create_task(self._run_pull()),
+            asyncio.create_task(self._store_loop()),
+            asyncio.create_task(self._pull_loop()),
         ]
 
     async def stop(self) -> None:
-        """Stop."""
+        """Stop polling and pulling."""
         await cancel_all(*self._tasks)
 
     def offer(self, signed: SignedBundle) -> Result[Bundle, Problem]:
-        """Put a bundle in force if it is signed, valid and newer.
+        """Apply a bundle if its signature and content are valid and it is newer.
 
-        Fails with ``BUNDLE_REVISION_LOWER`` for an older one, or the codes of ``open_bundle``.
+        Fails with ``BUNDLE_REVISION_LOWER`` if it is not newer, or the codes of ``open_bundle``.
         """
         opened = open_bundle(signed, self._trusted_signers)
         if isinstance(opened, Failure):
-            logging.warning("bundle refused: %s", opened.failure())
+            logging.warning("bundle rejected: %s", opened.failure())
             return opened
         bundle = opened.unwrap()
         if bundle.revision == self.revision and self._signed == signed:
             return Success(bundle)
         if bundle.revision <= self.revision:
-            detail = f"revision {bundle.revision} is not above {self.revision}"
+            detail = f"revision {bundle.revision} is not above the current revision {self.revision}"
             return Failure(Problem(ResultCode.BUNDLE_REVISION_LOWER, detail, "revision"))
         self.bundle = bundle
         self._signed = signed
@@ -111,10 +111,10 @@
         return Success(bundle)
 
     def answer_fetch(self, request: FetchBundle) -> SignedBundle:
-        """Answer a peer.
+        """Return the current bundle to a peer.
 
         Raises:
-            ProblemError: ``BUNDLE_REVISION_LOWER`` if this node has nothing that new.
+            ProblemError: ``BUNDLE_REVISION_LOWER`` if its revision is below ``min_revision``.
         """
         if self._signed is None or self.revision < request.min_revision:
             detail = f"revision {self.revision} is in force here"
@@ -123,27 +123,27 @@
 
     def _on_fact(self, fact: Fact) -> None:
         if fact.name == BUNDLE_FACT and fact.value > self.revision:
-            self._wanted_revision = max(self._wanted_revision, fact.value)
-            self._wake.set()
+            self._announced_revision = max(self._announced_revision, fact.value)
+            self._pull_needed.set()
 
-    async def _run_store(self) -> None:
+    async def _store_loop(self) -> None:
         while True:
-            # While nothing is in force, every node asks: it may have started without peers.
-            if self.bundle is None or self._watches_store():
+            # Without a bundle, every node polls the store, since it may have no peers.
+            if self.bundle is None or self._is_store_watcher():
                 latest = (await self._store.latest()).value_or(None)
                 if latest is not None:
-                    self._offer_stored(latest)
+                    self._apply_stored(latest)
             await asyncio.sleep(STORE_INTERVAL_S)
 
-    def _offer_stored(self, latest: SignedBundle) -> None:
+    def _apply_stored(self, latest: SignedBundle) -> None:
         result = self.offer(latest)
         if (
             isinstance(result, Failure)
             and result.failure().code is ResultCode.BUNDLE_REVISION_LOWER
         ):
-            logging.error("the configuration store went back: %s", result.failure())
+            logging.error("configuration store returned an older bundle: %s", result.failure())
 
-    def _watches_store(self) -> bool:
+    def _is_store_watcher(self) -> bool:
         own = self._membership.swim.own
         ranked = [
             node
@@ -152,13 +152,13 @@
         ]
         return own.node in ranked[:NUM_STORE_WATCHERS_PER_ZONE]
 
-    async def _run_pull(self) -> None:
+    async def _pull_loop(self) -> None:
         while True:
-            await self._wake.wait()
-            self._wake.clear()
-            while self._wanted_revision > self.revision:
+            await self._pull_needed.wait()
+            self._pull_needed.clear()
+            while self._announced_revision > self.revision:
                 await self._pull()
-                if self._wanted_revision > self.revision:
+                if self._announced_revision > self.revision:
                     await asyncio.sleep(PULL_RETRY_S)
 
     async def _pull(self) -> None:
@@ -167,7 +167,7 @@
             node for node in self._membership.candidates(own.node, own.zone) if node != own.node
         ]
         for peer in self._rng.sample(peers, min(NUM_PULL_PEERS, len(peers))):
-            request = FetchBundle(self._wanted_revision)
+            request = FetchBundle(self._announced_revision)
             answer = await self._membership.request(peer, request, PULL_TIMEOUT_S)
             signed = answer.value_or(None)
             if isinstance(signed, SignedBundle) and isinstance(self.offer(signed), Success):
--- a/src/hollowrack/bundle/schema.py
+++ b/src/hollowrack/bundle/schema.py
@@ -1,4 +1,4 @@
-"""The bundle: what runs where, how much room training has, and how stale samples may be."""
+"""Bundle schema: models, service pools, staleness bound and tenant weights of the fleet."""
 
 from typing import Annotated, Any
 
@@ -24,13 +24,13 @@
 
 
 class ServicePool(_Section):
-    """One pool of ordinary service workers."""
+    """One pool of service workers."""
 
     timeout_s: float = Field(default=10.0, gt=0, description="Longest wait for an answer.")
 
 
 class Measures(_Section):
-    """How the two measures are weighed against each other."""
+    """Weights of trainer idle time and sample staleness."""
 
     idle_weight: float = Field(default=1.0, ge=0, description="Weight of trainer idle time.")
     staleness_weight: float = Field(default=1.0, ge=0, description="Weight of sample staleness.")
@@ -40,7 +40,7 @@
 
 
 class Bundle(_Section):
-    """One revision of the operators' document."""
+    """One revision of the fleet's configuration."""
 
     revision: int = Field(ge=1, description="Rises with every accepted bundle.")
     models: dict[str, ModelPlan] = Field(default_factory=dict, description="Models by name.")
@@ -64,7 +64,7 @@
 
 
 def parse_bundle(values: Any) -> Result[Bundle, Problem]:
-    """Check a bundle given as a mapping; fails with ``BUNDLE_INVALID`` and the key path."""
+    """Validate a decoded bundle; fails with ``BUNDLE_INVALID`` and the path of the invalid key."""
     try:
         return Success(Bundle.model_validate(values))
     except ValidationError as error:
--- a/src/hollowrack/bundle/signing.py
+++ b/src/hollowrack/bundle/signing.py
@@ -1,4 +1,4 @@
-"""Signatures of bundles: Ed25519 over the canonical JSON of the document."""
+"""Bundle signatures: Ed25519 over the canonical JSON of a bundle."""
 
 import json
 from collections.abc import Mapping
@@ -19,12 +19,12 @@
 @message("bundle.signed")
 @dataclass(frozen=True)
 class SignedBundle:
-    """A bundle as it is stored and passed between nodes.
+    """A bundle in the form in which it is stored and sent between nodes.
 
     Attributes:
         document: Canonical JSON of the bundle.
         signer: Name of the signing key.
-        signature: Ed25519 signature over the context and the document.
+        signature: Ed25519 signature of the context string followed by the document.
     """
 
     document: bytes
@@ -33,24 +33,24 @@
 
 
 def canonical_document(bundle: Bundle) -> bytes:
-    """Return the bytes that are signed: JSON with sorted keys and no spaces."""
+    """Return the document to sign: JSON with sorted keys and no spaces."""
     values = bundle.model_dump(mode="json")
     return json.dumps(values, sort_keys=True, separators=(",", ":")).encode()
 
 
 def generate_key() -> Ed25519PrivateKey:
-    """Draw a new signing key."""
+    """Generate a signing key."""
     return Ed25519PrivateKey.generate()
 
 
 def public_key_hex(key: Ed25519PrivateKey) -> str:
-    """Return the public key in the form the settings take."""
+    """Return the public key in hex, as the setting ``trusted_signers`` expects it."""
     raw = key.public_key().public_bytes(serialization.Encoding.Raw, serialization.PublicFormat.Raw)
     return raw.hex()
 
 
 def sign_bundle(bundle: Bundle, signer: str, key: Ed25519PrivateKey) -> SignedBundle:
-    """Sign a bundle."""
+    """Sign a bundle as ``signer``."""
     document = canonical_document(bundle)
     return SignedBundle(document, signer, key.sign(_SIGNATURE_CONTEXT + document))
 
@@ -58,7 +58,7 @@
 def open_bundle(
     signed: SignedBundle, trusted_signers: Mapping[str, str]
 ) -> Result[Bundle, Problem]:
-    """Check the signature and return the bundle.
+    """Verify the signature, validate the document and return the bundle.
 
     Fails with ``BUNDLE_SIGNER_UNKNOWN``, ``BUNDLE_SIGNATURE_INVALID`` or ``BUNDLE_INVALID``.
     """
--- a/src/hollowrack/bundle/store.py
+++ b/src/hollowrack/bundle/store.py
@@ -1,4 +1,4 @@
-"""Acceptance of bundles: one create-only write per revision in the configuration store."""
+"""Bundle store: accepted bundles in the configuration store, one immutable entry per revision."""
 
 from returns.result import Failure, Result, Success
 
@@ -16,7 +16,7 @@
 
 
 class BundleStore:
-    """Reads and accepts bundles.
+    """Reads and writes the accepted bundles.
 
     Args:
         store: Client of the configuration store.
@@ -26,17 +26,17 @@
         self._store = store
 
     async def accept(self, revision: int, signed: SignedBundle) -> Result[None, Problem]:
-        """Accept a bundle as ``revision``; the store decides between racing operators.
+        """Store a bundle as ``revision``; of concurrent writes of a revision, one succeeds.
 
-        Revisions have no gaps: revision ``n`` needs ``n - 1``. Fails with ``BUNDLE_CONFLICT`` if
-        another bundle holds the revision.
+        Fails with ``BUNDLE_CONFLICT`` if the revision exists with another bundle or the previous
+        revision does not exist.
         """
         required = _key(revision - 1) if revision > 1 else None
         created = await self._store.create(_key(revision), codec.encode(signed), required)
-        return created.bind(lambda won: Success(None) if won else _conflict(revision))
+        return created.bind(lambda is_created: Success(None) if is_created else _conflict(revision))
 
     async def latest(self) -> Result[SignedBundle | None, Problem]:
-        """Return the accepted bundle with the highest revision."""
+        """Return the bundle with the highest revision; ``None`` if the store has none."""
         stored = await self._store.read_last(_PREFIX)
         if isinstance(stored, Failure):
             return stored
@@ -45,5 +45,5 @@
 
 
 def _conflict(revision: int) -> Failure[Problem]:
-    detail = f"revision {revision} is held by another bundle, or {revision - 1} was never accepted"
+    detail = f"revision {revision} is held by another bundle, or {revision - 1} does not exist"
     return Failure(Problem(ResultCode.BUNDLE_CONFLICT, detail, "revision"))
--- a/src/hollowrack/engines/__init__.py
+++ b/src/hollowrack/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Orders to engines: one leader a zone, fenced by its ballot."""
+"""Engine control: one leader per zone orders weight versions, fenced by its ballot."""
--- a/src/hollowrack/engines/controller.py
+++ b/src/hollowrack/engines/controller.py
@@ -1,9 +1,8 @@
-"""Brings the engines of a zone to the weight versions they should run.
+"""Engine controller: orders the engines of a zone to load their target weight versions.
 
-The leader of the zone's replicated group gives the orders, from whichever zone it runs in, and each
-order carries the leader's ballot as a fencing token, so that an engine refuses a leader that was
-replaced without knowing it.
-An engine whose swap failed is ordered again until it reports one consistent version.
+The leader of the zone's replicated group sends the orders; it may run in another zone. Each order
+carries the leader's ballot as a fencing token, so that engines reject orders of a former leader.
+Failed orders are repeated until the engine reports the target version.
 """
 
 import asyncio
@@ -26,10 +25,10 @@
 RECONCILE_INTERVAL_S = 0.1
 ENSURE_INTERVAL_S = 1.0
 FAILED_ORDER_PAUSE_S = 1.0
-# A group founded by a node that has found no others yet is lost with that node.
+# A group created before other nodes are discovered has a single member.
 DISCOVERY_POLL_S = 0.1
 SETTLED_AFTER_S = 1.5
-# An election takes less than this; a group without a leader for longer may have no majority left.
+# Longer than an election: a group without a leader by then may have lost its majority.
 LEADERLESS_S = 5.0
 
 
@@ -41,37 +40,37 @@
 
 
 def engine_group(zone: str) -> str:
-    """Return the group whose leader orders a zone's engines."""
+    """Return the name of the replicated group whose leader controls a zone's engines."""
     return ENGINE_GROUP_PREFIX + zone
 
 
 class NoState:
-    """State machine of a group that is used for its leadership alone."""
+    """Empty state machine of a group that is used only for leader election."""
 
     def apply(self, command: bytes) -> bytes:
-        """Do nothing."""
+        """Return the command unchanged."""
         return command
 
     def snapshot(self) -> bytes:
-        """Return no state."""
+        """Return an empty snapshot."""
         return b""
 
     def restore(self, snapshot: bytes) -> None:
-        """Take back no state."""
+        """Ignore the snapshot."""
 
 
 class EngineController:
-    """Orders the engines of each zone whose group this node leads.
+    """Controls the engines of each zone whose group this node leads.
 
     Args:
-        zone: This node's zone, whose group it creates if nobody has.
-        host: Runs the groups that this node is a member of.
+        zone: Zone of this node, whose group it creates if it does not exist.
+        host: Hosts the group replicas of this node.
         groups: Creates the zone's group.
         fleet: The node's view of the back ends.
-        make_client: Returns the client of an engine by its address.
-        target_version: Returns the weight version a model should run, or ``None``.
-        decisions: Where decisions are recorded.
-        num_nodes: Returns how many live nodes this node knows, itself included.
+        make_client: Returns the client of the engine at an address.
+        target_version: Returns the target weight version of a model; ``None`` if it has none.
+        decisions: Log of the decisions.
+        num_nodes: Returns the number of known live nodes, including this one.
     """
 
     def __init__(
@@ -93,61 +92,63 @@
         self._make_client = make_client
         self._target_version = target_version
         self._decisions = decisions
-        self._orders: dict[str, asyncio.Task[None]] = {}
+        self._order_tasks: dict[str, asyncio.Task[None]] = {}
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Start the loops."""
+        """Start the group and reconcile loops."""
         self._tasks = [
-            asyncio.create_task(self._run_ensure()),
-            asyncio.create_task(self._run_reconcile()),
+            asyncio.create_task(self._ensure_loop()),
+            asyncio.create_task(self._reconcile_loop()),
         ]
 
     async def stop(self) -> None:
-        """Stop giving orders."""
-        tasks = [*self._tasks, *self._orders.values()]
+        """Stop the loops and cancel the orders in progress."""
+        tasks = [*self._tasks, *self._order_tasks.values()]
         await cancel_all(*tasks)
 
-    async def _run_ensure(self) -> None:
+    async def _ensure_loop(self) -> None:
         group = engine_group(self._zone)
-        await self._until_nodes_are_found()
-        led_s = now_s()
+        await self._wait_for_discovery()
+        last_led_s = now_s()
         while True:
             await self._groups.ensure(group)
             if await self._groups.has_leader(group):
-                led_s = now_s()
-            elif now_s() - led_s > LEADERLESS_S:
-                # The group has no state, and engines refuse older tokens: nothing is lost by
-                # leaving its earlier members behind.
-                logging.warning("group %s has no leader: founded again", group)
+                last_led_s = now_s()
+            elif now_s() - last_led_s > LEADERLESS_S:
+                # Safe without the former members: the group has no state, and engines reject
+                # orders with older fencing tokens.
+                logging.warning("group %s has no leader; creating it again", group)
                 await self._groups.refound(group)
-                led_s = now_s()
+                last_led_s = now_s()
             await asyncio.sleep(ENSURE_INTERVAL_S)
 
-    async def _until_nodes_are_found(self) -> None:
-        """Wait until enough nodes for a group are known, or no new one has been found lately."""
+    async def _wait_for_discovery(self) -> None:
+        """Wait until enough nodes for a group are known or their number has stopped changing."""
         num_known = self._num_nodes()
-        last_found_s = now_s()
-        while num_known < DEFAULT_NUM_REPLICAS and now_s() - last_found_s < SETTLED_AFTER_S:
+        last_change_s = now_s()
+        while num_known < DEFAULT_NUM_REPLICAS and now_s() - last_change_s < SETTLED_AFTER_S:
             await asyncio.sleep(DISCOVERY_POLL_S)
             if self._num_nodes() != num_known:
                 num_known = self._num_nodes()
-                last_found_s = now_s()
+                last_change_s = now_s()
 
-    async def _run_reconcile(self) -> None:
+    async def _reconcile_loop(self) -> None:
         while True:
             await asyncio.sleep(RECONCILE_INTERVAL_S)
             for group in list(self._host.groups):
                 zone = zone_of_group(group)
                 if zone is not None and self._host.leads(group):
-                    self._order_zone(zone, self._host.groups[group].replica.promised.fencing_token)
+                    self._send_zone_orders(
+                        zone, self._host.groups[group].replica.promised.fencing_token
+                    )
 
-    def _order_zone(self, zone: str, token: int) -> None:
+    def _send_zone_orders(self, zone: str, token: int) -> None:
         for address, record in self._fleet.records.items():
-            if record.machine.zone == zone and address not in self._orders:
-                self._order_if_needed(address, record, token)
+            if record.machine.zone == zone and address not in self._order_tasks:
+                self._start_order_if_needed(address, record, token)
 
-    def _order_if_needed(self, address: str, record: BackEndRecord, token: int) -> None:
+    def _start_order_if_needed(self, address: str, record: BackEndRecord, token: int) -> None:
         machine = record.machine
         if machine.kind != BackEndKind.ENGINE.value:
             return
@@ -158,11 +159,13 @@
         if target is None or is_current or record.engine.weight_version > target:
             return
         incarnation = record.engine.incarnation
-        task = asyncio.create_task(self._order(address, machine.pool, target, token, incarnation))
-        self._orders[address] = task
-        task.add_done_callback(lambda _: self._orders.pop(address, None))
+        task = asyncio.create_task(
+            self._send_order(address, machine.pool, target, token, incarnation)
+        )
+        self._order_tasks[address] = task
+        task.add_done_callback(lambda _: self._order_tasks.pop(address, None))
 
-    async def _order(
+    async def _send_order(
         self, address: str, model: str, version: int, token: int, incarnation: str
     ) -> None:
         client = self._make_client(address)
@@ -174,5 +177,5 @@
         state = await client.state()
         self._fleet.apply_engine_state(address, state.value_or(None))
         if isinstance(result, Failure):
-            logging.warning("order to %s failed: %s", address, result.failure())
+            logging.warning("order to engine %s failed: %s", address, result.failure())
             await asyncio.sleep(FAILED_ORDER_PAUSE_S)
--- a/src/hollowrack/node.py
+++ b/src/hollowrack/node.py
@@ -1,4 +1,4 @@
-"""The daemon: a node's core with sockets, HTTP clients and HTTP listeners."""
+"""Node daemon: a node core with its sockets, HTTP clients and HTTP listeners."""
 
 import asyncio
 import uuid
@@ -33,11 +33,11 @@
 
 
 class Node:
-    """One node of the fleet as a daemon.
+    """Node of the fleet that communicates over sockets and HTTP.
 
     Args:
-        settings: Checked settings.
-        seed: Seed of all random choices; ``None`` draws one.
+        settings: Validated settings.
+        seed: Seed of all random choices; ``None`` selects a random seed.
 
     Raises:
         ProblemError: ``CLUSTER_KEY_INVALID``.
@@ -54,10 +54,10 @@
             self._journals = JournalFolder(settings.data_dir / JOURNAL_FOLDER)
         self._drain_task: asyncio.Task[None] | None = None
 
-    # -- life -------------------------------------------------------------------------------
+    # -- lifecycle --------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Bind the listeners and start.
+        """Start the core, bind the listeners and serve requests.
 
         Raises:
             ProblemError: ``ADDRESS_UNAVAILABLE`` if a listener cannot be bound.
@@ -69,7 +69,7 @@
         )
         try:
             await self.core.start()
-            self._build_faces()
+            self._build_apis()
         except BaseException:
             await self._session.close()
             await self._fresh_session.close()
@@ -79,7 +79,7 @@
         logging.info("node %s listens on %s", self.settings.node, self.callers_server.address)
 
     async def stop(self) -> None:
-        """Planned stop: refuse new work, finish what runs, hand over, then close."""
+        """Stop gracefully: drain the core, stop the listeners and close all connections."""
         await self.core.drain()
         await self.callers_server.stop()
         await self.operators_server.stop()
@@ -87,14 +87,14 @@
         self.drained.set()
 
     async def kill(self) -> None:
-        """Stop at once, as a crash would; for tests and the demonstration."""
+        """Stop immediately without draining, to simulate a crash."""
         self.core.host.abandon()
         await self.callers_server.abort()
         await self.operators_server.abort()
         await self._close()
 
     def start_drain(self) -> None:
-        """Start a planned stop in the background."""
+        """Start a graceful stop in the background, once."""
         if self._drain_task is None:
             self._drain_task = asyncio.create_task(self.stop())
 
@@ -103,7 +103,7 @@
         await self._session.close()
         await self._fresh_session.close()
 
-    # -- building ---------------------------------------------------------------------------
+    # -- construction -----------------------------------------------------------------------
 
     def _identity(self) -> NodeIdentity:
         settings = self.settings
@@ -140,7 +140,7 @@
     def _make_engine_client(self, address: str) -> EngineClient:
         return HttpEngineClient(self._session, address)
 
-    def _build_faces(self) -> None:
+    def _build_apis(self) -> None:
         settings, core = self.settings, self.core
         callers = CallersFace(core.gateway, core.metrics, settings.limits.max_body_bytes)
         trainers = TrainersFace(core.runs, settings.limits.max_body_bytes)
@@ -156,14 +156,14 @@
         )
         limits = settings.limits
         self.callers_server = HttpServer(
-            _application([*callers.routes(), *trainers.routes()]),
+            _make_application([*callers.routes(), *trainers.routes()]),
             settings.listeners.callers,
             "listeners.callers",
             limits.max_connections,
             limits.request_read_timeout_s,
         )
         self.operators_server = HttpServer(
-            _application(operators.routes()),
+            _make_application(operators.routes()),
             settings.listeners.operators,
             "listeners.operators",
             limits.max_connections,
@@ -171,7 +171,7 @@
         )
 
 
-def _application(routes: list[Route]) -> Starlette:
+def _make_application(routes: list[Route]) -> Starlette:
     return Starlette(routes=routes, exception_handlers={Exception: internal_error_response})
 
 
--- a/src/hollowrack/node_core.py
+++ b/src/hollowrack/node_core.py
@@ -1,7 +1,7 @@
-"""The parts of one node, joined; without sockets of its own.
+"""Node core: builds and connects the components of one node.
 
-Everything a node decides is in here. What it touches (network, store, engines, workers, machine
-list) comes in as :class:`NodeEdges`, so that the daemon and the bench run the same code.
+Network, configuration store, engines, workers and machine list are injected as :class:`NodeEdges`,
+so that the daemon and the benchmarks run the same code.
 """
 
 import asyncio
@@ -75,18 +75,18 @@
 LEAVE_SPREAD_S = 0.5
 REPLACED_TIMEOUT_S = 5.0
 PREPARE_CLAIMS_AFTER_S = 1.0
-# A broker's own bound is the room of its zone.
+# No bound in practice: a broker is limited by the capacity of its zone.
 MAX_BROKERED_REQUESTS = 1_000_000
 
 
 class NodeCore:
-    """One node.
+    """Components of one node and their lifecycle.
 
     Args:
-        identity: Who it is.
-        edges: What it touches.
-        trusted_signers: Public keys of bundle signers by name.
-        limits: Bounds that protect its memory.
+        identity: Identity of the node.
+        edges: External dependencies.
+        trusted_signers: Public keys of the bundle signers, in hex, by name.
+        limits: Resource limits of the node.
     """
 
     def __init__(
@@ -109,10 +109,10 @@
         self._dispatcher = Dispatcher()
         self._prepare_task: asyncio.Task[None] | None = None
 
-    # -- life -------------------------------------------------------------------------------
+    # -- lifecycle --------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Open the network, build the parts and start them.
+        """Open the network, then build and start the components.
 
         Raises:
             ProblemError: ``ADDRESS_UNAVAILABLE`` if the node's address cannot be bound.
@@ -120,7 +120,7 @@
         self.address = await self._edges.network.open(
             self._receive_datagram, self._dispatcher.handle
         )
-        self._build_control()
+        self._build_control_plane()
         self._build_placement()
         self._build_requests()
         self._build_rollout()
@@ -136,10 +136,10 @@
         self.engines.start()
         self.runs.start()
         self.executor.start()
-        self._prepare_task = asyncio.create_task(self._prepare_claims())
+        self._prepare_task = asyncio.create_task(self._prepare_claim_groups())
 
     async def drain(self) -> None:
-        """First half of a planned stop: announce, refuse new work, finish, hand over."""
+        """Announce the stop, reject new requests, finish running ones and hand over the groups."""
         self.is_draining = True
         self.gateway.is_stopping = True
         self.runs.is_stopping.set()
@@ -155,7 +155,7 @@
         await self.repair.wait_until_replaced(REPLACED_TIMEOUT_S)
 
     async def close(self) -> None:
-        """Stop everything at once: the second half of a planned stop, or all of a crash."""
+        """Stop all components immediately; a graceful stop calls :meth:`drain` first."""
         await cancel_all(self._prepare_task)
         await self._edges.network.close()
         await self.membership.stop()
@@ -174,17 +174,17 @@
         bundle = self.bundles.bundle
         return bundle.drain_deadline_s if bundle is not None else DEFAULT_DRAIN_DEADLINE_S
 
-    async def _prepare_claims(self) -> None:
-        # Members are chosen among the nodes known by then, so the first full exchanges come first.
+    async def _prepare_claim_groups(self) -> None:
+        # Group members are chosen among the known nodes; discovery takes a few exchanges.
         await asyncio.sleep(PREPARE_CLAIMS_AFTER_S)
         await self.unsafe.prepare()
 
     def _receive_datagram(self, sender: str, message: GossipMessage) -> None:
         self.membership.receive(sender, message)
 
-    # -- building ---------------------------------------------------------------------------
+    # -- construction -----------------------------------------------------------------------
 
-    def _build_control(self) -> None:
+    def _build_control_plane(self) -> None:
         identity, edges = self.identity, self._edges
         own = Member(identity.node, identity.zone, self.address, identity.incarnation)
         self.membership = MembershipService(
@@ -200,7 +200,7 @@
         self.bundles.on_applied.append(self._on_bundle)
         self._build_groups(GroupDirectory(store))
         self.observer = FleetObserver(
-            self.fleet, edges.read_machines, edges.make_engine_client, self._decides_about
+            self.fleet, edges.read_machines, edges.make_engine_client, self._is_responsible_for
         )
         self.fleet.is_marked_leaving = self.facts.is_leaving
         self.engines = EngineController(
@@ -261,7 +261,7 @@
         )
 
     def _build_rollout(self) -> None:
-        # Rollouts have a budget of their own: the coordinator starts failed slots again anyway.
+        # Rollouts have a separate retry budget: the coordinator retries failed slots anyway.
         runner = GenerationRunner(
             self.placer, self._edges.make_engine_client, RetryBudget(share=1.0), self.decisions
         )
@@ -275,7 +275,7 @@
                 decisions=self.decisions,
                 metrics=self.metrics,
                 trainer_version=self.facts.trainer_version,
-                on_own_running=self._note_own_running,
+                on_own_running=self._receive_local_report,
             )
         )
         context = RolloutContext(
@@ -298,9 +298,9 @@
     def _register_messages(self) -> None:
         on, on_sync = self._dispatcher.on, self._dispatcher.on_sync
         on_sync(Envelope, self.host.receive)
-        on(ProposeRequest, self._answer_propose)
+        on(ProposeRequest, self._handle_propose)
         on_sync(FindGroup, lambda request: self.host.describe(request.group))
-        on_sync(JoinGroup, self._answer_join)
+        on_sync(JoinGroup, self._handle_join)
         on_sync(Digest, self.membership.answer_digest)
         on_sync(Exchange, self.membership.answer_exchange)
         on_sync(FetchBundle, self.bundles.answer_fetch)
@@ -315,21 +315,21 @@
         on_sync(PlacementDone, self.broker.receive_done)
         on_sync(PlacementReport, self.broker.receive_report)
 
-    async def _answer_propose(self, request: ProposeRequest) -> ProposeAnswer:
+    async def _handle_propose(self, request: ProposeRequest) -> ProposeAnswer:
         result = await self.host.propose(request.group, request.command)
         return ProposeAnswer(value_or_raise(result))
 
-    def _answer_join(self, request: JoinGroup) -> Joined:
+    def _handle_join(self, request: JoinGroup) -> Joined:
         self.host.join(request.group, request.membership)
         return Joined(self.host.replica_id)
 
-    # -- glue -------------------------------------------------------------------------------
+    # -- callbacks --------------------------------------------------------------------------
 
     def _num_nodes(self) -> int:
         return sum(1 for member in self.membership.swim.members.values() if member.takes_work)
 
-    def _note_own_running(self, running: RunningSlots) -> None:
-        # The run service is built after the executor that reports to it.
+    def _receive_local_report(self, running: RunningSlots) -> None:
+        # Resolved at call time: the run service is created after the executor.
         self.runs.note_running(running)
 
     def _training_room(self, model: str) -> float:
@@ -343,8 +343,8 @@
         if address is not None:
             self.fleet.mark_leaving(address)
 
-    def _decides_about(self, machine: Machine) -> bool:
-        """Whether this node places requests on an engine or gives it orders."""
+    def _is_responsible_for(self, machine: Machine) -> bool:
+        """Whether this node places requests on an engine or sends orders to it."""
         is_broker = self.placer.broker_of(machine.pool, machine.zone) == self.identity.node
         return is_broker or self.host.leads(engine_group(machine.zone))
 
@@ -355,14 +355,14 @@
         self.metrics.bundle_revision.set(bundle.revision)
 
     def mark_back_end_leaving(self, address: str) -> bool:
-        """Mark a back end as leaving for the whole fleet; returns whether this node knows it."""
+        """Mark a back end as leaving in the whole fleet; returns whether this node knows it."""
         if address not in self.fleet.records:
             return False
         self.facts.mark_leaving(address)
         return True
 
     def status(self) -> dict[str, Any]:
-        """Return the node's status for operators, as JSON."""
+        """Return the node's status as JSON values, for the operators' API."""
         members = self.membership.swim.members.values()
         return {
             "node": self.identity.node,
--- a/src/hollowrack/node_edges.py
+++ b/src/hollowrack/node_edges.py
@@ -1,4 +1,4 @@
-"""Who a node is and what it touches."""
+"""Identity and external dependencies of a node."""
 
 from dataclasses import dataclass, field
 
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True)
 class NodeIdentity:
-    """Who a node is.
+    """Identity of a node.
 
     Attributes:
-        node: Its name.
-        zone: Its zone.
-        incarnation: Identity of its memory.
-        seeds: Members it knows from the start.
-        seed: Seed of all its random choices; ``None`` draws one.
+        node: Name of the node.
+        zone: Zone of the node.
+        incarnation: Identifier that changes when the node loses its state.
+        seeds: Members known at the start.
+        seed: Seed of all random choices; ``None`` selects a random seed.
     """
 
     node: str
@@ -33,16 +33,16 @@
 
 @dataclass(frozen=True)
 class NodeEdges:
-    """What a node touches.
+    """External dependencies of a node.
 
     Attributes:
-        network: The network between nodes.
-        store_call: Calls the configuration store.
+        network: Network between nodes.
+        store_call: Sends calls to the configuration store.
         read_machines: Reads the machine list.
-        make_engine_client: Returns the client of an engine by its address.
+        make_engine_client: Returns the client of the engine at an address.
         services: Sends requests to service workers.
-        journals: The node's journals, if it has a data folder.
-        chooser: Chooses back ends.
+        journals: Journals of the group replicas; ``None`` keeps the state in memory.
+        chooser: Selects the back end of a request.
     """
 
     network: NodeNetwork
