--- a/src/hollowrack/api/guarded_protocol.py
+++ b/src/hollowrack/api/read_timeout_protocol.py
@@ -9,7 +9,7 @@
 from hollowrack.results import DESCRIPTIONS, Problem, ResultCode
 
 
-class GuardedProtocol(HttpToolsProtocol):
+class ReadTimeoutProtocol(HttpToolsProtocol):
     """Closes connections whose request is not complete within the read timeout.
 
     Sends status 408 unless a response has started. :func:`guarded_protocol` sets the timeout.
@@ -56,9 +56,9 @@
         self.transport.close()
 
 
-def guarded_protocol(read_timeout_s: float) -> type[GuardedProtocol]:
+def make_read_timeout_protocol(read_timeout_s: float) -> type[ReadTimeoutProtocol]:
     """Return a protocol class with a read timeout, in seconds."""
-    return type("GuardedProtocol", (GuardedProtocol,), {"read_timeout_s": read_timeout_s})
+    return type("ReadTimeoutProtocol", (ReadTimeoutProtocol,), {"read_timeout_s": read_timeout_s})
 
 
 def _timeout_response(read_timeout_s: float) -> bytes:
--- a/src/hollowrack/engines/controller.py
+++ b/src/hollowrack/engines/controller.py
@@ -24,12 +24,12 @@
 ENGINE_GROUP_PREFIX = "engines:"
 RECONCILE_INTERVAL_S = 0.1
 ENSURE_INTERVAL_S = 1.0
-FAILED_ORDER_PAUSE_S = 1.0
+FAILED_ORDER_BACKOFF_S = 1.0
 # A group created before other nodes are discovered has a single member.
-DISCOVERY_POLL_S = 0.1
-SETTLED_AFTER_S = 1.5
+DISCOVERY_POLL_INTERVAL_S = 0.1
+DISCOVERY_QUIET_PERIOD_S = 1.5
 # Longer than an election: a group without a leader by then may have lost its majority.
-LEADERLESS_S = 5.0
+LEADERLESS_TIMEOUT_S = 5.0
 
 
 def zone_of_group(group: str) -> str | None:
@@ -44,7 +44,7 @@
     return ENGINE_GROUP_PREFIX + zone
 
 
-class NoState:
+class EmptyStateMachine:
     """Empty state machine of a group that is used only for leader election."""
 
     def apply(self, command: bytes) -> bytes:
@@ -112,14 +112,14 @@
         await self._wait_for_discovery()
         last_led_s = now_s()
         while True:
-            await self._groups.ensure(group)
+            await self._groups.find_or_create(group)
             if await self._groups.has_leader(group):
                 last_led_s = now_s()
-            elif now_s() - last_led_s > LEADERLESS_S:
+            elif now_s() - last_led_s > LEADERLESS_TIMEOUT_S:
                 # Safe without the former members: the group has no state, and engines reject
                 # orders with older fencing tokens.
                 logging.warning("group %s has no leader; creating it again", group)
-                await self._groups.refound(group)
+                await self._groups.force_new_epoch(group)
                 last_led_s = now_s()
             await asyncio.sleep(ENSURE_INTERVAL_S)
 
@@ -127,8 +127,10 @@
         """Wait until enough nodes for a group are known or their number has stopped changing."""
         num_known = self._num_nodes()
         last_change_s = now_s()
-        while num_known < DEFAULT_NUM_REPLICAS and now_s() - last_change_s < SETTLED_AFTER_S:
-            await asyncio.sleep(DISCOVERY_POLL_S)
+        while (
+            num_known < DEFAULT_NUM_REPLICAS and now_s() - last_change_s < DISCOVERY_QUIET_PERIOD_S
+        ):
+            await asyncio.sleep(DISCOVERY_POLL_INTERVAL_S)
             if self._num_nodes() != num_known:
                 num_known = self._num_nodes()
                 last_change_s = now_s()
@@ -174,8 +176,8 @@
         self._decisions.record(
             DecisionKind.ORDER_ENGINE, address, outcome, model=model, version=version, token=token
         )
-        state = await client.state()
+        state = await client.read_state()
         self._fleet.apply_engine_state(address, state.value_or(None))
         if isinstance(result, Failure):
             logging.warning("order to engine %s failed: %s", address, result.failure())
-            await asyncio.sleep(FAILED_ORDER_PAUSE_S)
+            await asyncio.sleep(FAILED_ORDER_BACKOFF_S)
--- a/src/hollowrack/rollout/coordinator.py
+++ b/src/hollowrack/rollout/coordinator.py
@@ -24,7 +24,7 @@
 from hollowrack.rollout.ledger import SampleLedger
 from hollowrack.rollout.scheduling import Dispatch, plan_dispatches
 from hollowrack.rollout.trainer_messages import ReadSamples, RunStatus, Samples, StepStatus
-from hollowrack.rollout.types import RunSettings, Slot
+from hollowrack.rollout.types import RunSettings, SampleSlot
 from hollowrack.routing.fleet import FleetView
 from hollowrack.routing.types import BackEndKind, BackEndStatus
 
@@ -32,11 +32,11 @@
 MAX_POLL_WAIT_S = 20.0
 _HAND_OVER_POLL_INTERVAL_S = 0.02
 # An unreported slot is assigned again after this time.
-PLACEMENT_TTL_S = 4 * REPORT_INTERVAL_S
+RUNNING_SLOT_TTL_S = 4 * REPORT_INTERVAL_S
 # A report received sooner after an assignment may predate its arrival at the executor.
-ASSIGNMENT_TRAVEL_S = 0.2
+ASSIGNMENT_GRACE_S = 0.2
 # Every live executor reports to a new leader within this time.
-FIRST_STATEMENTS_S = 1.5 * REPORT_INTERVAL_S
+FIRST_REPORTS_TIMEOUT_S = 1.5 * REPORT_INTERVAL_S
 
 
 @dataclass(frozen=True)
@@ -69,29 +69,29 @@
 
 
 @dataclass
-class RunningTable:
+class RunningSlotTable:
     """Running sample slots of one run, from the reports of the executors.
 
     Attributes:
         slots: Executor and time of the last report, by sample slot.
     """
 
-    slots: dict[Slot, _RunningSlot] = field(default_factory=dict)
+    slots: dict[SampleSlot, _RunningSlot] = field(default_factory=dict)
 
-    def note(self, node: str, reported: tuple[Slot, ...]) -> None:
+    def record_report(self, node: str, reported: tuple[SampleSlot, ...]) -> None:
         """Record which slots a node runs; removes its other slots unless just assigned."""
         reported_set = set(reported)
         for slot in reported:
             self.slots[slot] = _RunningSlot(node, now_s())
         for slot, entry in list(self.slots.items()):
-            is_past_grace = now_s() - entry.received_s >= ASSIGNMENT_TRAVEL_S
+            is_past_grace = now_s() - entry.received_s >= ASSIGNMENT_GRACE_S
             if entry.node == node and slot not in reported_set and is_past_grace:
                 del self.slots[slot]
 
-    def forget_old(self) -> None:
+    def remove_expired(self) -> None:
         """Remove slots that have not been reported for ``PLACEMENT_TTL_S``."""
         for slot, entry in list(self.slots.items()):
-            if now_s() - entry.received_s >= PLACEMENT_TTL_S:
+            if now_s() - entry.received_s >= RUNNING_SLOT_TTL_S:
                 del self.slots[slot]
 
 
@@ -106,7 +106,7 @@
     """
 
     def __init__(
-        self, run: str, ledger: SampleLedger, running: RunningTable, context: RolloutContext
+        self, run: str, ledger: SampleLedger, running: RunningSlotTable, context: RolloutContext
     ) -> None:
         self.training_room = 1.0
         self._run = run
@@ -121,7 +121,7 @@
     def reconcile(self) -> None:
         """Assign open slots that are not running, within the training capacity."""
         state = self._ledger.state
-        self._running.forget_old()
+        self._running.remove_expired()
         if state.settings is None or self._awaits_first_reports():
             return
         open_slots = {slot for slot in self._running.slots if self._ledger.is_open(slot)}
@@ -132,8 +132,8 @@
 
     def _awaits_first_reports(self) -> bool:
         """Whether generations of earlier leaders may be running without having been reported."""
-        has_history = self._ledger.history.num_noted > 0
-        return has_history and now_s() - self._leader_since_s < FIRST_STATEMENTS_S
+        has_history = self._ledger.history.num_recorded > 0
+        return has_history and now_s() - self._leader_since_s < FIRST_REPORTS_TIMEOUT_S
 
     def _assign(self, dispatch: Dispatch, settings: RunSettings) -> None:
         assignment = Assignment(
@@ -255,8 +255,8 @@
     def _step_statuses(self) -> tuple[StepStatus, ...]:
         """Return the status of the incomplete steps and of the last complete one."""
         steps = self._ledger.state.steps
-        complete = [number for number, step in steps.items() if step.is_whole]
-        numbers = {number for number, step in steps.items() if not step.is_whole}
+        complete = [number for number, step in steps.items() if step.is_complete]
+        numbers = {number for number, step in steps.items() if not step.is_complete}
         numbers.update(complete[-1:])
         return tuple(
             StepStatus(
--- a/src/hollowrack/rollout/ledger.py
+++ b/src/hollowrack/rollout/ledger.py
@@ -25,9 +25,9 @@
     OpenRun,
     SubmitStep,
 )
-from hollowrack.rollout.lengths import LengthHistory
+from hollowrack.rollout.length_history import LengthHistory
 from hollowrack.rollout.spans import check_spans
-from hollowrack.rollout.types import HandedSample, Prompt, RunSettings, Sample, Slot
+from hollowrack.rollout.types import HandedOverSample, Prompt, RunSettings, Sample, SampleSlot
 
 
 class SlotStatus(IntEnum):
@@ -46,7 +46,7 @@
         sample: The committed sample; ``None`` before the commit and after hand-over.
     """
 
-    slot: Slot
+    slot: SampleSlot
     status: SlotStatus = SlotStatus.OPEN
     sample: Sample | None = None
 
@@ -72,7 +72,7 @@
     num_handed_over: int = 0
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether all slots have been handed over."""
         return self.num_handed_over == self.num_slots
 
@@ -97,7 +97,7 @@
     settings: RunSettings | None = None
     trainer_version: int = 0
     steps: dict[int, StepState] = field(default_factory=dict)
-    handed_over: list[HandedSample] = field(default_factory=list)
+    handed_over: list[HandedOverSample] = field(default_factory=list)
     last_cursor: int = 0
     acknowledged: int = 0
     num_voided: int = 0
@@ -119,7 +119,7 @@
         self.state = LedgerState()
         # Local to this replica and not part of the replicated state: only a scheduling hint.
         self.history = LengthHistory()
-        self._positions: dict[int, dict[Slot, int]] = {}
+        self._positions: dict[int, dict[SampleSlot, int]] = {}
 
     # -- StateMachine -----------------------------------------------------------------------
 
@@ -178,7 +178,7 @@
         if len(set(prompt_ids)) != len(prompt_ids):
             return _rejected(ResultCode.STEP_CONFLICT, "prompt identifiers are not unique")
         slots = [
-            SlotState(Slot(command.step, prompt.prompt, index))
+            SlotState(SampleSlot(command.step, prompt.prompt, index))
             for prompt in command.prompts
             for index in range(prompt.num_samples)
         ]
@@ -191,7 +191,7 @@
         step = self.state.steps.get(sample.slot.step)
         if step is None:
             return _rejected(ResultCode.STEP_UNKNOWN, str(sample.slot))
-        if step.is_whole:
+        if step.is_complete:
             return self._reject_duplicate(sample)
         position = self._position(step, sample.slot)
         if position is None:
@@ -213,7 +213,7 @@
     def _record_length(self, step: StepState, sample: Sample) -> None:
         for prompt in step.prompts:
             if prompt.prompt == sample.slot.prompt:
-                self.history.note(prompt.text, sample.num_tokens)
+                self.history.record(prompt.text, sample.num_tokens)
                 return
 
     def _reject_duplicate(self, sample: Sample) -> LedgerOutcome:
@@ -240,10 +240,10 @@
             step.num_handed_over += 1
             self.state.last_cursor += 1
             self.state.handed_over.append(
-                HandedSample(self.state.last_cursor, self.state.trainer_version, sample)
+                HandedOverSample(self.state.last_cursor, self.state.trainer_version, sample)
             )
         self.state.num_voided += num_voided
-        if step.is_whole and step.slots:
+        if step.is_complete and step.slots:
             self.state.num_whole_unannounced += 1
             step.prompts = ()
             step.slots = []
@@ -271,7 +271,7 @@
 
     # -- reads ------------------------------------------------------------------------------
 
-    def handed_over_after(self, cursor: int, max_samples: int) -> list[HandedSample]:
+    def handed_over_after(self, cursor: int, max_samples: int) -> list[HandedOverSample]:
         """Return up to ``max_samples`` samples after ``cursor``, in cursor order.
 
         Repeated reads of a cursor return the same samples until they are acknowledged.
@@ -286,10 +286,10 @@
             return []
         return [slot for slot in state.slots if slot.status is SlotStatus.OPEN]
 
-    def is_open(self, slot: Slot) -> bool:
+    def is_open(self, slot: SampleSlot) -> bool:
         """Whether a slot is open."""
         step = self.state.steps.get(slot.step)
-        if step is None or step.is_whole:
+        if step is None or step.is_complete:
             return False
         position = self._position(step, slot)
         return position is not None and step.slots[position].status is SlotStatus.OPEN
@@ -298,7 +298,7 @@
         age = self.state.trainer_version - sample.oldest_version
         return age > settings.max_staleness_versions
 
-    def _position(self, step: StepState, slot: Slot) -> int | None:
+    def _position(self, step: StepState, slot: SampleSlot) -> int | None:
         positions = self._positions.get(slot.step)
         if positions is None:
             positions = {state.slot: index for index, state in enumerate(step.slots)}
--- a/src/hollowrack/rollout/lengths.py
+++ b/src/hollowrack/rollout/length_history.py
@@ -11,17 +11,17 @@
 
     Attributes:
         smoothing: Weight of a new length in the moving averages.
-        num_noted: Number of recorded lengths.
+        num_recorded: Number of recorded lengths.
     """
 
     smoothing: float = 0.3
-    num_noted: int = 0
+    num_recorded: int = 0
     _estimates: dict[str, float] = field(default_factory=dict)
     _overall: float | None = None
 
-    def note(self, prompt_text: str, num_tokens: int) -> None:
+    def record(self, prompt_text: str, num_tokens: int) -> None:
         """Record the length of a finished sample."""
-        self.num_noted += 1
+        self.num_recorded += 1
         estimate = self._estimates.get(prompt_text, float(num_tokens))
         self._estimates[prompt_text] = estimate + self.smoothing * (num_tokens - estimate)
         overall = self._overall if self._overall is not None else float(num_tokens)
