--- a/src/hollowrack/api/read_timeout_protocol.py
+++ b/src/hollowrack/api/read_timeout_protocol.py
@@ -12,7 +12,8 @@
 class ReadTimeoutProtocol(HttpToolsProtocol):
     """Closes connections whose request is not complete within the read timeout.
 
-    Sends status 408 unless a response has started. :func:`guarded_protocol` sets the timeout.
+    Sends status 408 unless a response has started. Subclasses from
+    :func:`make_read_timeout_protocol` set the timeout.
     """
 
     read_timeout_s = 10.0
--- a/src/hollowrack/bundle/agent.py
+++ b/src/hollowrack/bundle/agent.py
@@ -88,7 +88,7 @@
     def apply_if_newer(self, signed: SignedBundle) -> Result[Bundle, Problem]:
         """Apply a bundle if its signature and content are valid and it is newer.
 
-        Fails with ``BUNDLE_REVISION_LOWER`` if it is not newer, or the codes of ``open_bundle``.
+        Fails with ``BUNDLE_REVISION_LOWER`` if it is not newer, or the codes of ``verify_bundle``.
         """
         opened = verify_bundle(signed, self._trusted_signers)
         if isinstance(opened, Failure):
--- a/src/hollowrack/engines/controller.py
+++ b/src/hollowrack/engines/controller.py
@@ -98,7 +98,7 @@
     def start(self) -> None:
         """Start the group and reconcile loops."""
         self._tasks = [
-            asyncio.create_task(self._ensure_loop()),
+            asyncio.create_task(self._group_loop()),
             asyncio.create_task(self._reconcile_loop()),
         ]
 
@@ -107,7 +107,7 @@
         tasks = [*self._tasks, *self._order_tasks.values()]
         await cancel_all(*tasks)
 
-    async def _ensure_loop(self) -> None:
+    async def _group_loop(self) -> None:
         group = engine_group(self._zone)
         await self._wait_for_discovery()
         last_led_s = now_s()
@@ -118,7 +118,7 @@
             elif now_s() - last_led_s > LEADERLESS_TIMEOUT_S:
                 # Safe without the former members: the group has no state, and engines reject
                 # orders with older fencing tokens.
-                logging.warning("group %s has no leader; creating it again", group)
+                logging.warning("group %s has no leader; forcing a new epoch", group)
                 await self._groups.force_new_epoch(group)
                 last_led_s = now_s()
             await asyncio.sleep(ENSURE_INTERVAL_S)
--- a/src/hollowrack/node.py
+++ b/src/hollowrack/node.py
@@ -65,7 +65,10 @@
         self._session = _session()
         self._fresh_session = _session(force_close=True)
         self.core = NodeCore(
-            self._identity(), self._edges(), self.settings.trusted_signers, self.settings.limits
+            self._identity(),
+            self._dependencies(),
+            self.settings.trusted_signers,
+            self.settings.limits,
         )
         try:
             await self.core.start()
@@ -123,7 +126,7 @@
         )
         return NodeIdentity(settings.node, settings.zone, incarnation, seeds, self._seed)
 
-    def _edges(self) -> NodeDependencies:
+    def _dependencies(self) -> NodeDependencies:
         settings = self.settings
         return NodeDependencies(
             network=SocketNetwork(settings.node, settings.listeners.nodes, self._cluster_key),
--- a/src/hollowrack/node_core.py
+++ b/src/hollowrack/node_core.py
@@ -1,7 +1,7 @@
 """Node core: builds and connects the components of one node.
 
-Network, configuration store, engines, workers and machine list are injected as :class:`NodeDependencies`,
-so that the daemon and the benchmarks run the same code.
+Network, configuration store, engines, workers and machine list are injected as
+:class:`NodeDependencies`, so that the daemon and the benchmarks run the same code.
 """
 
 import asyncio
@@ -84,7 +84,7 @@
 
     Args:
         identity: Identity of the node.
-        edges: External dependencies.
+        dependencies: External dependencies.
         trusted_signers: Public keys of the bundle signers, in hex, by name.
         limits: Resource limits of the node.
     """
@@ -92,7 +92,7 @@
     def __init__(
         self,
         identity: NodeIdentity,
-        edges: NodeDependencies,
+        dependencies: NodeDependencies,
         trusted_signers: Mapping[str, str],
         limits: Limits,
     ) -> None:
@@ -102,7 +102,7 @@
         self.metrics = NodeMetrics()
         self.fleet = FleetView()
         self.is_draining = False
-        self._edges = edges
+        self._dependencies = dependencies
         self._trusted_signers = trusted_signers
         self._limits = limits
         self._rng = random.Random(identity.seed)
@@ -117,7 +117,7 @@
         Raises:
             ProblemError: ``ADDRESS_UNAVAILABLE`` if the node's address cannot be bound.
         """
-        self.address = await self._edges.network.open(
+        self.address = await self._dependencies.network.open(
             self._receive_datagram, self._dispatcher.handle
         )
         self._build_control_plane()
@@ -157,7 +157,7 @@
     async def close(self) -> None:
         """Stop all components immediately; a graceful stop calls :meth:`drain` first."""
         await cancel_all(self._prepare_task)
-        await self._edges.network.close()
+        await self._dependencies.network.close()
         await self.membership.stop()
         await self.runs.stop()
         await self.executor.stop()
@@ -185,14 +185,14 @@
     # -- construction -----------------------------------------------------------------------
 
     def _build_control_plane(self) -> None:
-        identity, edges = self.identity, self._edges
+        identity, dependencies = self.identity, self._dependencies
         own = Member(identity.node, identity.zone, self.address, identity.incarnation)
         self.membership = MembershipService(
-            own, list(identity.seeds), edges.network, self._rng.getrandbits(32)
+            own, list(identity.seeds), dependencies.network, self._rng.getrandbits(32)
         )
         self.facts = FleetFacts(self.membership)
         self.membership.on_fact.append(self._on_fact)
-        store = ConfigStoreClient(edges.store_call)
+        store = ConfigStoreClient(dependencies.store_call)
         self.bundle_store = BundleStore(store)
         self.bundles = BundleAgent(
             self.bundle_store, self.membership, self._trusted_signers, self.decisions, self._rng
@@ -200,7 +200,10 @@
         self.bundles.on_applied.append(self._on_bundle)
         self._build_groups(GroupDirectory(store))
         self.observer = FleetObserver(
-            self.fleet, edges.read_machines, edges.make_engine_client, self._is_responsible_for
+            self.fleet,
+            dependencies.read_machines,
+            dependencies.make_engine_client,
+            self._is_responsible_for,
         )
         self.fleet.is_marked_leaving = self.facts.is_leaving
         self.engines = EngineController(
@@ -208,7 +211,7 @@
             self.host,
             self.groups,
             self.fleet,
-            edges.make_engine_client,
+            dependencies.make_engine_client,
             self.facts.target_version,
             self.decisions,
             self._num_nodes,
@@ -220,7 +223,7 @@
             self.identity.incarnation,
             self.membership,
             make_state_machine,
-            self._edges.journals,
+            self._dependencies.journals,
             seed=self._rng.getrandbits(32),
         )
         self.repair = GroupRepair(
@@ -230,7 +233,7 @@
 
     def _build_placement(self) -> None:
         parts = PlacerParts(
-            self.identity.node, self.fleet, self._edges.chooser, self.decisions, self._rng
+            self.identity.node, self.fleet, self._dependencies.chooser, self.decisions, self._rng
         )
         max_requests = self._limits.max_requests
         self.admission = AdmissionController(self.fleet.pool_load, self._num_nodes, max_requests)
@@ -245,12 +248,12 @@
         self.placer = BrokeredPlacer(parts, self.membership, self.broker, self.local_placer)
 
     def _build_requests(self) -> None:
-        edges = self._edges
+        dependencies = self._dependencies
         self.retry_budget = RetryBudget()
         self.generations = GenerationRunner(
-            self.placer, edges.make_engine_client, self.retry_budget, self.decisions
+            self.placer, dependencies.make_engine_client, self.retry_budget, self.decisions
         )
-        services = ServiceForwarder(self.local_placer, edges.services, self.retry_budget)
+        services = ServiceForwarder(self.local_placer, dependencies.services, self.retry_budget)
         self.at_most_once = AtMostOnceRunner(self.groups, self.membership, self.host.replica_id)
         self.answers = ReplicatedAnswers(
             self.identity.node, self.membership, AnswerStore(self._limits.max_answers)
@@ -265,7 +268,10 @@
     def _build_rollout(self) -> None:
         # Rollouts have a separate retry budget: the coordinator retries failed slots anyway.
         runner = GenerationRunner(
-            self.placer, self._edges.make_engine_client, RetryBudget(ratio=1.0), self.decisions
+            self.placer,
+            self._dependencies.make_engine_client,
+            RetryBudget(ratio=1.0),
+            self.decisions,
         )
         self.executor = RolloutExecutor(
             ExecutorContext(
@@ -330,9 +336,9 @@
     def _num_nodes(self) -> int:
         return sum(1 for member in self.membership.swim.members.values() if member.accepts_work)
 
-    def _receive_local_report(self, running: RunningSlotsReport) -> None:
+    def _receive_local_report(self, report: RunningSlotsReport) -> None:
         # Resolved at call time: the run service is created after the executor.
-        self.runs.receive_report(running)
+        self.runs.receive_report(report)
 
     def _training_room(self, model: str) -> float:
         bundle = self.bundles.bundle
--- a/src/hollowrack/rollout/coordinator.py
+++ b/src/hollowrack/rollout/coordinator.py
@@ -89,7 +89,7 @@
                 del self.slots[slot]
 
     def remove_expired(self) -> None:
-        """Remove slots that have not been reported for ``PLACEMENT_TTL_S``."""
+        """Remove slots that have not been reported for ``RUNNING_SLOT_TTL_S``."""
         for slot, entry in list(self.slots.items()):
             if now_s() - entry.received_s >= RUNNING_SLOT_TTL_S:
                 del self.slots[slot]
--- a/src/hollowrack/rollout/executor.py
+++ b/src/hollowrack/rollout/executor.py
@@ -250,15 +250,15 @@
             for run, slots in by_run.items():
                 await self._send_report(RunningSlotsReport(run, self._context.node, tuple(slots)))
 
-    async def _send_report(self, running: RunningSlotsReport) -> None:
-        found = (await self._context.groups.find(run_group(running.run))).value_or(None)
+    async def _send_report(self, report: RunningSlotsReport) -> None:
+        found = (await self._context.groups.find(run_group(report.run))).value_or(None)
         if found is None:
             return
         for member in found.members:
             if node_of(member) == self._context.node:
-                self._context.on_local_report(running)
+                self._context.on_local_report(report)
             else:
-                self._context.links.post(node_of(member), running)
+                self._context.links.post(node_of(member), report)
 
 
 def _is_not_run(problem: Problem) -> bool:
--- a/src/hollowrack/rollout/service.py
+++ b/src/hollowrack/rollout/service.py
@@ -89,10 +89,10 @@
             self._on_version(run, settings.model, ledger.state.trainer_version)
         coordinator.reconcile()
 
-    def receive_report(self, running: RunningSlotsReport) -> None:
+    def receive_report(self, report: RunningSlotsReport) -> None:
         """Record a report; all members of the ledger's group do, as any may be the next leader."""
-        if run_group(running.run) in self._host.groups:
-            self._running_table(running.run).record_report(running.node, running.slots)
+        if run_group(report.run) in self._host.groups:
+            self._running_table(report.run).record_report(report.node, report.slots)
 
     def _running_table(self, run: str) -> RunningSlotTable:
         return self._running.setdefault(run, RunningSlotTable())
@@ -101,9 +101,9 @@
 
     async def open(self, run: str, command: OpenRun) -> Result[LedgerOutcome, Problem]:
         """Open a run and create its replicated group if it does not exist."""
-        ensured = await self._groups.find_or_create(run_group(run))
-        if isinstance(ensured, Failure):
-            return ensured
+        created = await self._groups.find_or_create(run_group(run))
+        if isinstance(created, Failure):
+            return created
         return await self.execute(run, command)
 
     async def execute(self, run: str, command: LedgerCommand) -> Result[LedgerOutcome, Problem]:
