--- a/src/hollowrack/node_core.py
+++ b/src/hollowrack/node_core.py
@@ -83,8 +83,8 @@
     """Components of one node and their lifecycle.
 
     Args:
-        identity: Identity of the node.
-        dependencies: External dependencies.
+        identity: Name, zone and incarnation of the node, and its seeds.
+        dependencies: Network and clients of the node, real or simulated.
         trusted_signers: Public keys of the bundle signers, in hex, by name.
         limits: Resource limits of the node.
     """
