--- a/src/hollowrack/jobs/host_role.py
+++ b/src/hollowrack/jobs/host_role.py
@@ -20,18 +20,20 @@
 
 # Two hosts of a zone may fail at the same time.
 NUM_HOSTS_PER_ZONE = 3
-# Longest propagation of a change through a host: the greatest age of its mirror, the check of it,
-# a request to the store including failover, and the same again if a host hangs.
+# Longest time for a change to reach a node through a host: the age limit of the host's mirror, the
+# interval of its freshness check, a request to the store including failover, and the same again if
+# the host hangs.
 MIN_CHANGE_BOUND_WITHOUT_SESSION_S = 3.0
 ROLE_POLL_INTERVAL_S = 0.1
-# Starting nodes wait for this divided by their number of cores, so that larger nodes become hosts
-# first: half a core waits 0.8 s, about the time that it takes to start.
+# Core-seconds: a starting node waits for this divided by its number of cores, so that larger nodes
+# become hosts first.
 START_DELAY_CORE_S = 0.4
 STARTUP_WINDOW_S = 10.0
-# A host whose lease has expired renews it within the longest retry interval, about 1.6 s.
+# Longer than the longest retry interval of a session, so that a host whose lease has expired can
+# renew it first.
 REPLACEMENT_DELAY_S = 2.0
-# A new session is seen by other nodes after about 0.5 s, and dozens of nodes may try to open one.
-# The shorter jitter applies while the zone has no host.
+# Spreads the attempts of dozens of nodes, because other nodes see a new session only after about
+# 0.5 s. The shorter jitter applies while the zone has no host.
 MAX_JITTER_S = 10.0
 MAX_URGENT_JITTER_S = 1.5
 # A surplus host closes its session after this time without owning jobs or leading.
@@ -180,17 +182,17 @@
         self._session.start()
 
     async def _close_if_surplus(self, num_hosts: int) -> None:
-        is_indicated = not self._has_duties() and is_surplus(
+        is_change_needed = not self._has_duties() and is_surplus(
             self._node, self._own(), self._live.nodes, num_hosts
         )
-        if self._is_due(is_indicated, SURPLUS_DELAY_S):
+        if self._is_due(is_change_needed, SURPLUS_DELAY_S):
             logging.info("closing the session with the store: the zone has enough hosts")
             self._due_since_s = None
             await self._session.stop()
 
-    def _is_due(self, is_indicated: bool, wait_s: float) -> bool:
-        """Whether a change of role has been indicated continuously for ``wait_s`` seconds."""
-        if not is_indicated:
+    def _is_due(self, is_change_needed: bool, wait_s: float) -> bool:
+        """Whether a change of role has been needed continuously for ``wait_s`` seconds."""
+        if not is_change_needed:
             self._due_since_s = None
             return False
         if self._due_since_s is None:
--- a/src/hollowrack/jobs/item_order.py
+++ b/src/hollowrack/jobs/item_order.py
@@ -72,9 +72,13 @@
     tokens_per_s: float
 
     def fits(self, num_tokens: int) -> bool:
-        """Whether the slots can generate so many tokens before the deadline, or nearly.
+        """Whether the tokens are at most ``OVERLOAD_FACTOR`` times the capacity in the time left.
 
-        ``False`` while the throughput is unknown, so that a new node completes groups one by one.
+        Always ``True`` without a deadline. With one, ``False`` while the throughput is unknown, so
+        that a new node completes groups one by one.
+
+        Args:
+            num_tokens: Tokens to be generated.
         """
         if isinf(self.time_left_s):
             return True
@@ -82,7 +86,7 @@
         return num_tokens <= OVERLOAD_FACTOR * usable_s * self.num_slots * self.tokens_per_s
 
     def generation_time_s(self, num_tokens: int) -> float:
-        """Time that one slot takes for so many tokens, in seconds; 0 while unknown."""
+        """Time that one slot takes to generate these tokens, in seconds; 0 while unknown."""
         return num_tokens / self.tokens_per_s if self.tokens_per_s > 0.0 else 0.0
 
 
--- a/src/hollowrack/jobs/item_runner.py
+++ b/src/hollowrack/jobs/item_runner.py
@@ -189,6 +189,11 @@
         return await self._score(text, self._versions())
 
     async def _generate_until_accepted(self) -> None:
+        """Generate the text, and again if it mixes weight versions where the route allows one.
+
+        Raises:
+            ItemGivenUpError: If the item can never be completed.
+        """
         while True:
             route = await self._route_of(self._item.target)
             if route is None:
@@ -259,7 +264,7 @@
         return tuple(sorted(version for version in versions if version is not None))
 
     async def _generate(self, route: Route) -> None:
-        """Generate the missing events."""
+        """Generate the events that follow those in ``events``, in one run at one service."""
         services = self._services
         service = services.routes.choose_service(route)
         self._waits = RunWaits(service, services.queue.statistics)
@@ -331,7 +336,7 @@
             services.slot_throughput.record_item(generated_fraction * expected_tokens, duration_s)
 
     async def _append_events(self, run: ResumableRun) -> None:
-        """Append all events of a run."""
+        """Append the events of a run; report each time that they exceed the estimated length."""
         lengths = self._services.lengths
         expected_tokens = self._item.expected_tokens
         overrun_threshold = lengths.overrun_threshold(expected_tokens, len(self.events))
@@ -373,6 +378,14 @@
         return version is None or version >= self._job.min_version
 
     async def _score(self, text: str, versions: tuple[int, ...]) -> ItemResult:
+        """Request the score of a text until the scorer returns one.
+
+        Only answers with status 500 count as failures. After any other failure the request is
+        repeated until the item's time limit.
+
+        Raises:
+            ItemGivenUpError: If the scorer failed as often as its route allows.
+        """
         scorer = self._item.scorer
         if scorer is None:
             return ItemResult(self._item.id, True, text, versions)
--- a/src/hollowrack/jobs/job_intake.py
+++ b/src/hollowrack/jobs/job_intake.py
@@ -22,10 +22,11 @@
 # A write without an answer may have succeeded, so its outcome must be resolved first.
 RESOLVE_TIMEOUT_S = 8.0
 MAX_PEERS_ASKED = 3
-# Without an answer of the preferred owner within this time another node stores the job.
+# Without an answer of a preferred node within this time, the next one or this node stores the job.
 HANDOFF_TIMEOUT_S = 1.0
 PEER_TIMEOUT_S = 3.0
-# Asked by a node without a session before it becomes the owner itself.
+# Number of hosts, after the preferred owner, to which a node without a session submits a job before
+# it becomes the owner itself.
 MAX_OTHER_HOSTS = 1
 # Problems after which the job is certainly not stored, so that another node can be asked.
 _NOT_STORED_CODES = frozenset({ResultCode.STOPPING, ResultCode.JOB_NOT_STORED})
--- a/src/hollowrack/jobs/job_log.py
+++ b/src/hollowrack/jobs/job_log.py
@@ -2,8 +2,8 @@
 
 Results are listed as a chain of batches, each stored under the position of its first result. A
 batch is written on the condition that its key does not exist, and a writer derives the position
-from the complete chain before it. So concurrent writers that both believe to own a job can neither
-list an item twice nor list different results at one position.
+from the complete chain before it. So concurrent writers that both act as the owner of a job
+can neither list an item twice nor list different results at one position.
 """
 
 from collections.abc import Sequence
@@ -36,8 +36,10 @@
 OPEN_PREFIX = "hollowrack/live/open/"
 ENDS_PREFIX = "hollowrack/live/ends/"
 MAX_JOB_ID_LENGTH = 120
+# A job is split into parts, one value each, that are stored in one transaction.
 MAX_PART_BYTES = 600_000
 MAX_PARTS = 28
+# Keys removed by one transaction.
 MAX_REMOVES = 30
 _ENDED = b"ended"
 
@@ -101,7 +103,8 @@
     """Decode one stored batch.
 
     Raises:
-        ProblemError: If the value is not a message, or ``MESSAGE_INVALID`` if it is another one.
+        ProblemError: If the value cannot be decoded; ``MESSAGE_INVALID`` if it holds a message of
+            another type.
     """
     return _decode(value, ResultBatch).results
 
@@ -246,7 +249,8 @@
     """Join stored batches in order, up to the first gap.
 
     Raises:
-        ProblemError: If a batch is not a message, or ``MESSAGE_INVALID`` if it is another one.
+        ProblemError: If a batch cannot be decoded; ``MESSAGE_INVALID`` if it holds a message of
+            another type.
     """
     batch_at = {position_of(item.key): item for item in batches}
     results: list[ItemResult] = []
@@ -286,6 +290,10 @@
 def _decode(value: bytes, expected: type[Expected]) -> Expected:
     decoded = value_or_raise(codec.decode(value))
     if not isinstance(decoded, expected):
-        problem = Problem(ResultCode.MESSAGE_INVALID, f"expected {expected.__name__}", "store")
+        problem = Problem(
+            ResultCode.MESSAGE_INVALID,
+            f"the record is not the expected message of type {expected.__name__}",
+            "store",
+        )
         raise ProblemError(problem)
     return decoded
--- a/src/hollowrack/jobs/job_reader.py
+++ b/src/hollowrack/jobs/job_reader.py
@@ -27,6 +27,15 @@
 
 @dataclass
 class _CachedJob:
+    """A job with the results that are known to be listed.
+
+    Attributes:
+        revision: Store revision up to which the results were read; 0 if they were not read from the
+            store.
+        is_ended: Whether the job was ended, so that no more results follow.
+        lock: Held while the results are refreshed.
+    """
+
     job: Job
     results: list[ItemResult]
     revision: int
@@ -34,7 +43,7 @@
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
     @property
-    def is_listed_whole(self) -> bool:
+    def is_fully_listed(self) -> bool:
         return len(self.results) >= len(self.job.items)
 
 
@@ -62,7 +71,7 @@
     def complete_job(self, job_id: str) -> tuple[Job, list[ItemResult]] | None:
         """Return a cached job and its results if all are listed, so that it cannot change."""
         cached = self._cache.get(job_id)
-        if cached is None or not cached.is_listed_whole:
+        if cached is None or not cached.is_fully_listed:
             return None
         return cached.job, cached.results
 
@@ -90,7 +99,7 @@
         cached = await self._find(job_id)
         if not isinstance(cached, _CachedJob):
             return cached
-        if len(cached.results) <= after and not cached.is_listed_whole:
+        if len(cached.results) <= after and not cached.is_fully_listed:
             failure = await self._refresh(cached, after, wait_s)
             if failure is not None:
                 return failure
--- a/src/hollowrack/jobs/job_runner.py
+++ b/src/hollowrack/jobs/job_runner.py
@@ -188,7 +188,8 @@
 
         Args:
             service: Name of the service.
-            incarnation_positions: Position in the report by text form of the incarnation.
+            incarnation_positions: Position of each worker incarnation in the slot report, by its
+                text form.
         """
         runners = list(self._item_runners.values())
         workers = self._services.workers
--- a/src/hollowrack/jobs/job_service.py
+++ b/src/hollowrack/jobs/job_service.py
@@ -30,7 +30,7 @@
 READ_RETRY_AFTER_S = 0.3
 # All nodes see a new job within two polls of the feed of changes, which are 0.2 s apart.
 JOB_VISIBILITY_TIMEOUT_S = 0.5
-# Jobs lost to other owners whose remainder is kept for requests of these.
+# Jobs taken over by other nodes whose remainder is held until their new owners request it.
 MAX_REMAINDERS = 4
 
 
@@ -155,7 +155,11 @@
     def _on_done(self, runner: JobRunner) -> None:
         self._runners.pop(runner.job.id, None)
         self._reader.cache_job(runner.job, runner.results)
-        logging.info("job %s: %d listed, done here", runner.job.id, len(runner.results))
+        logging.info(
+            "job %s: no longer run on this node, %d results listed",
+            runner.job.id,
+            len(runner.results),
+        )
 
     # -- reading ----------------------------------------------------------------------------
 
@@ -208,7 +212,11 @@
         return JobPage(True, len(job.items), tuple(results[request.after :]), requested_job)
 
     async def _find_job(self, job_id: str) -> Job | Unavailable | None:
-        """Find a job here, at its owner or in the store; ``None`` if it certainly is in none."""
+        """Find a job here, at its owner or in the store.
+
+        Returns:
+            The job; ``None`` only if the store has answered that there is no such job.
+        """
         runner = self._runners.get(job_id)
         if runner is not None:
             return runner.job
@@ -253,7 +261,7 @@
         """Stop a job that was ended here or at another node."""
         runner = self._runners.get(job_id)
         if runner is not None:
-            logging.info("job %s: ended, %d listed", job_id, len(runner.results))
+            logging.info("job %s: ended, %d results listed", job_id, len(runner.results))
             self._track_task(asyncio.create_task(runner.stop()))
         self._reader.record_job_end(job_id)
 
@@ -268,7 +276,7 @@
             self._stop_lost_job(runner)
 
     def _stop_lost_job(self, runner: JobRunner) -> None:
-        """Stop running a job, and keep its remainder for the new owner."""
+        """Stop running a job, and hold its remainder for requests of the new owner."""
         self._remainders[runner.job.id] = runner.remainder()
         while len(self._remainders) > MAX_REMAINDERS:
             self._remainders.popitem(last=False)
@@ -329,7 +337,8 @@
                     logging.info("job %s: %s to %s", runner.job.id, outcome, successor)
         except TimeoutError:
             logging.warning(
-                "job %s: not handed over, the store did not answer in time", runner.job.id
+                "job %s: not handed over, the store did not answer within the handover timeout",
+                runner.job.id,
             )
         await runner.stop()
 
--- a/src/hollowrack/jobs/length_estimate.py
+++ b/src/hollowrack/jobs/length_estimate.py
@@ -1,8 +1,9 @@
 """Estimate of the number of events of an item, from expected tokens and finished items."""
 
-# Half-life of a sample's weight.
+# Half-life of the weight of a finished item.
 HALF_LIFE_ITEMS = 100
-# An item beyond its estimate is expected to generate this fraction of its events again.
+# An item beyond its estimate is expected to generate this fraction of its present number of events
+# in addition.
 OVERRUN_FRACTION = 0.25
 
 
@@ -33,7 +34,9 @@
             expected_tokens: Length stated by its caller; 0 if none was.
             num_events: Events generated so far.
         """
-        return max(self._num_expected(expected_tokens) - num_events, OVERRUN_FRACTION * num_events)
+        return max(
+            self._num_expected_events(expected_tokens) - num_events, OVERRUN_FRACTION * num_events
+        )
 
     def num_tokens_left(self, expected_tokens: int, num_events: int) -> int:
         """Estimate how many tokens are left of an item, counted as in its expected length."""
@@ -56,7 +59,7 @@
             return float("inf")
         return num_events + self.num_events_left(expected_tokens, num_events)
 
-    def _num_expected(self, expected_tokens: int) -> float:
+    def _num_expected_events(self, expected_tokens: int) -> float:
         if not self._num_items:
             return 0.0
         if not expected_tokens or not self._num_tokens:
--- a/src/hollowrack/jobs/live_state.py
+++ b/src/hollowrack/jobs/live_state.py
@@ -31,7 +31,7 @@
 # Nodes that are asked for changes before the store; each may take its full timeout.
 NUM_OBSERVER_SOURCES = 3
 NUM_LOCAL_OBSERVER_SOURCES = 2
-# Processes whose entry is gone may still answer; the most recent ones are remembered.
+# Processes whose entry was removed may still answer; the most recent ones are remembered.
 MAX_FORMER_NODES = 64
 # Finished jobs whose last owner is remembered, because it can still serve their results.
 MAX_FINISHED_JOBS = 256
@@ -163,9 +163,9 @@
     def observer_sources(self) -> list[str]:
         """Addresses of nodes with a session that a node without one asks for changes.
 
-        The choice is stable while these nodes live, and differs between asking nodes to spread the
-        load. Nodes of the same zone come first; the last one is in another zone, if there is one,
-        so that the loss of all nodes of a zone causes no delay.
+        The choice is stable while these nodes are live, and differs between asking nodes to spread
+        the load. Nodes of the same zone come first; the last one is in another zone, if there is
+        one, so that the loss of all nodes of a zone causes no delay.
         """
         ranked = self._ranked_owners()
         in_zone = [owner for owner in ranked if self.nodes[owner].zone == self._zone]
--- a/src/hollowrack/jobs/open_work.py
+++ b/src/hollowrack/jobs/open_work.py
@@ -30,7 +30,8 @@
         schedule: Deadline of the job.
         runners: Runners of its unfinished items.
         service: Name of the service.
-        incarnation_positions: Position in the report by text form of the incarnation.
+        incarnation_positions: Position of each worker incarnation in the slot report, by its text
+            form.
         workers: Directory of known workers.
     """
     at_service = [runner for runner in runners if runner.active_service == service]
--- a/src/hollowrack/jobs/peer_jobs.py
+++ b/src/hollowrack/jobs/peer_jobs.py
@@ -22,7 +22,7 @@
 SUBMIT_PATH = "/jobs"
 READ_PATH = "/jobs/read"
 REMAINDER_PATH = "/jobs/remainder"
-# A former owner may be down or partitioned; its state is not worth a longer wait.
+# A former owner may be down or partitioned; its state only saves repeated work.
 REMAINDER_TIMEOUT_S = 0.6
 READ_TIMEOUT_MARGIN_S = 0.4
 MAX_READ_WAIT_S = 5.0
--- a/src/hollowrack/jobs/placement.py
+++ b/src/hollowrack/jobs/placement.py
@@ -13,9 +13,10 @@
 from hollowrack.jobs.types import Job
 from hollowrack.messages.codec import message
 
-# Nodes with at least this fraction of the most cores count as equally large.
+# Nodes with at least this fraction of the cores of the largest node count as equally large.
 LARGE_NODE_FRACTION = 0.9
-# The caller's zone is preferred if its largest node has this fraction of the most cores of all.
+# The caller's zone is preferred if its largest node has at least this fraction of the cores of the
+# largest node of all zones.
 LOCAL_NODE_FRACTION = 0.5
 
 
--- a/src/hollowrack/jobs/retention.py
+++ b/src/hollowrack/jobs/retention.py
@@ -19,7 +19,7 @@
     """Removes ended jobs while this node is the leader.
 
     The retention period starts when this node receives the end of a job; a new leader may
-    therefore keep a job longer, never shorter.
+    therefore retain a job longer, never shorter.
 
     Args:
         log: Durable state of jobs.
--- a/src/hollowrack/jobs/slot_throughput.py
+++ b/src/hollowrack/jobs/slot_throughput.py
@@ -1,6 +1,6 @@
 """Estimate of the throughput of one slot, updated with each finished item."""
 
-# Half-life of a sample's weight, so that the estimate follows workers that become slow.
+# Half-life of the weight of a finished item; short, to follow workers that become slow.
 HALF_LIFE_ITEMS = 30
 
 
--- a/src/hollowrack/jobs/takeover.py
+++ b/src/hollowrack/jobs/takeover.py
@@ -1,4 +1,4 @@
-"""Takeover of jobs whose owner is gone, by the next process of its node or by the leader.
+"""Takeover of jobs whose owner has failed, by the next process of its node or by the leader.
 
 The new owner resumes from the progress that the former owner saved in the store and, if that
 process still answers, from the state that it holds.
@@ -18,10 +18,11 @@
 from hollowrack.jobs.progress import JobRemainder, ProgressLog, longest_runs
 from hollowrack.tasks import cancel_all
 
-# An owner counts as gone when its session has been absent for this long.
+# An owner counts as failed when its session has been absent for this long.
 SESSION_LOSS_GRACE_S = 0.4
 TAKEOVER_POLL_INTERVAL_S = 0.25
-# Added to the grace period before a failed takeover is retried.
+# Delay before a takeover that raised an error is retried; for jobs that this process owns already,
+# it is added to the grace period.
 CLAIM_RETRY_INTERVAL_S = 1.5
 SCAN_INTERVAL_S = 6.0
 
