--- a/src/hollowrack/jobs/item_eligibility.py
+++ b/src/hollowrack/jobs/item_eligibility.py
@@ -14,7 +14,7 @@
         model: Model whose weight versions restrict the workers; empty if none do.
         min_version: Oldest weight version that may generate its tokens.
         suspect: Fingerprint of the item if workers have crashed while running it, else ``None``.
-        suspect_placement: Keeps suspects apart; ``None`` to allow them at any worker.
+        suspect_placement: Restricts the workers that may run suspects; ``None`` for no restriction.
     """
 
     model: str
--- a/src/hollowrack/jobs/item_runner.py
+++ b/src/hollowrack/jobs/item_runner.py
@@ -142,7 +142,10 @@
             return self._give_up(GiveUpReason.TIME_IS_UP)
 
     def _give_up(self, reason: GiveUpReason) -> ItemResult:
-        """Return the result of an item that is given up; the only place where one is created."""
+        """Log and count an item that is given up, and return its result.
+
+        No other code creates an incomplete result.
+        """
         self._services.num_given_up[reason] += 1
         logging.warning(
             "item %s of job %s: given up with %d events, %s (%s), last waiting: %s",
--- a/src/hollowrack/jobs/job_order.py
+++ b/src/hollowrack/jobs/job_order.py
@@ -54,8 +54,8 @@
     def _compute(self) -> Mapping[str, ItemRank]:
         """Compute the ranks of the unfinished items.
 
-        Without other models at its services a job has all slots, and all its items rank alike; the
-        queue then starts the longest one first.
+        Without other models at its services a job has all slots, and all its items have equal rank;
+        the queue then starts the longest one first.
         """
         if not self._shares_workers():
             return {}
--- a/src/hollowrack/jobs/job_reader.py
+++ b/src/hollowrack/jobs/job_reader.py
@@ -61,7 +61,7 @@
         self._cache: OrderedDict[str, _CachedJob] = OrderedDict()
 
     def cache_job(self, job: Job, results: list[ItemResult], revision: int = 0) -> None:
-        """Put a job into the cache; revision 0 if its results were not read from the store."""
+        """Add a job to the cache; revision 0 if its results were not read from the store."""
         self._insert(job.id, _CachedJob(job, list(results), revision))
 
     def is_cached(self, job_id: str) -> bool:
--- a/src/hollowrack/jobs/placement.py
+++ b/src/hollowrack/jobs/placement.py
@@ -67,7 +67,7 @@
 
 
 def _first_by_hash(key: str, owners: Iterable[str]) -> str:
-    """Return the owner with the highest hash; only node names are hashed, so restarts keep it."""
+    """Return the owner with the highest hash of its node name, which restarts do not change."""
     return max(
         owners,
         key=lambda owner: (
--- a/src/hollowrack/jobs/takeover.py
+++ b/src/hollowrack/jobs/takeover.py
@@ -107,7 +107,7 @@
         """Run jobs that were handed over to this process, or that it claimed but failed to load."""
         assigned = [job for job in self._jobs_by_revision() if job.owner == self._log.owner]
         not_running = {job.job_id: job for job in assigned if not self._jobs.owns(job.job_id)}
-        # A job that this process has just stored or finished briefly looks unowned as well.
+        # A job that this process has just stored or finished is also not running for a moment.
         self._assigned_since_s = {
             job_id: self._assigned_since_s.get(job_id, now_s()) for job_id in not_running
         }
@@ -117,12 +117,14 @@
                 await self._take_over(not_running[job_id])
 
     def _update_owners(self) -> None:
+        """Schedule a scan if a process has lost its session since the previous check."""
         live = set(self._live.nodes)
         if self._live_owners - live:
             self._next_scan_s = min(self._next_scan_s, now_s() + SESSION_LOSS_GRACE_S)
         self._live_owners = live
 
     async def _scan(self) -> None:
+        """Take over all jobs without a live owner."""
         live = set(self._live.nodes)
         for job in self._jobs_by_revision():
             if job.owner not in live and job.owner != self._log.owner:
@@ -156,7 +158,7 @@
             self._fetch_remainder(job),
         )
         if job.job_id not in self._live.open_jobs:
-            return  # Ended in the meantime.
+            return  # The job was finished or ended during the reads.
         if isinstance(stored, StoredJob):
             logging.info("job %s: taken over from %s", job.job_id, job.owner)
             saved_events = longest_runs([*records, remainder.items])
