--- a/src/hollowrack/jobs/job_service.py
+++ b/src/hollowrack/jobs/job_service.py
@@ -30,7 +30,7 @@
 READ_RETRY_AFTER_S = 0.3
 # All nodes see a new job within two polls of the feed of changes, which are 0.2 s apart.
 JOB_VISIBILITY_TIMEOUT_S = 0.5
-# Jobs taken over by other nodes whose remainder is held until their new owners request it.
+# Jobs taken over by other nodes whose remainder is held for requests of their new owners.
 MAX_REMAINDERS = 4
 
 
