--- a/src/hollowrack/slots/allocator.py
+++ b/src/hollowrack/slots/allocator.py
@@ -19,7 +19,8 @@
 GRANT_TTL_S = 3.0
 # Several report intervals: a known owner without a report by then gets no slots reserved.
 FIRST_REPORT_TIMEOUT_S = 0.5
-# Bounds the CPU time spent on planning, whose cost is proportional to jobs times workers.
+# Lifetime of a plan per pair of job and worker. Bounds the CPU time spent on planning, which is
+# proportional to the number of these pairs.
 PLAN_AGE_PER_CELL_S = 50e-6
 MAX_PLAN_AGE_S = 1.0
 # Bounds the memory that reports under invalid owner names can take.
@@ -167,7 +168,7 @@
                 self._unreported_until_s[name] = until_s
 
     def update_plan(self, capacity: Mapping[str, int], now_s: float) -> None:
-        """Compute the plan again if its owners changed or its lifetime is over.
+        """Compute the plan again if its owners changed or it has expired.
 
         Args:
             capacity: Slots of each incarnation.
@@ -246,7 +247,8 @@
     def _may_earlier_grants_apply(self, unreported: Collection[str], now_s: float) -> bool:
         """Whether owners that have not reported yet may hold grants of an earlier leader.
 
-        Until then owners keep the limits that they reported, which the earlier leader had granted.
+        Until this is ruled out, owners keep the limits that they reported, which the earlier leader
+        had granted.
         A leader that had to wait before it may act is already past this period.
         """
         age_s = now_s - self._leader_since_s
--- a/src/hollowrack/slots/holder.py
+++ b/src/hollowrack/slots/holder.py
@@ -169,7 +169,11 @@
     # -- limits -----------------------------------------------------------------------------
 
     def limit(self, worker: Worker) -> int:
-        """Return the maximum number of requests of this node in flight at a worker."""
+        """Return the maximum number of requests of this node in flight at a worker.
+
+        Without a grant in force, this is 0 until the first grant is overdue, then the limit of the
+        expired grant while no arbiter acts, and otherwise an equal share.
+        """
         if not self.shares_slots_of(worker.service):
             return worker.capacity
         granted = self.granted_limit(worker)
@@ -339,7 +343,8 @@
         self.num_refused += 1
         if self._refusal_log_limiter.allow(now_s()):
             logging.warning(
-                "slots: grant %d of %.64s with fencing token %d rejected, %d rejected so far: %s",
+                "slots: grant in answer to report %d by arbiter %.64s with fencing token %d"
+                " rejected, %d rejected so far: %s",
                 grant.number,
                 grant.arbiter,
                 grant.fencing_token,
@@ -356,7 +361,8 @@
             return
         self._last_logged_shares[service] = share
         logging.info(
-            "slots of %s: %d granted at %d workers by %s, %s, answering report %d sent %.3f s ago",
+            "slots of %s: %d granted at %d workers by arbiter %s, %s, in answer to report %d sent"
+            " %.3f s ago",
             service,
             share[0],
             len(grant.limits),
--- a/src/hollowrack/slots/plan.py
+++ b/src/hollowrack/slots/plan.py
@@ -54,10 +54,12 @@
         Requests above the grant will end; waiting items will use the rest of the grant.
         """
         has_waiting = any(work.num_waiting > 0 for work in self.work)
-        kept = dict(self.in_flight)
+        expected = dict(self.in_flight)
         for incarnation, count in self.held.items():
-            kept[incarnation] = count if has_waiting else min(count, kept.get(incarnation, 0))
-        return kept
+            expected[incarnation] = (
+                count if has_waiting else min(count, expected.get(incarnation, 0))
+            )
+        return expected
 
 
 @dataclass(frozen=True)
@@ -131,19 +133,23 @@
         self._owners = owners
         self._names = sorted(owners)
         self._planned: dict[str, dict[str, int]] = {name: {} for name in self._names}
+        # Slots not planned for any owner yet, and slots that are neither planned nor expected to be
+        # occupied by requests in flight; the latter may be negative.
         self._unplanned = dict(capacity)
         self._free = dict(capacity)
         # Placement steps in order of preference: each takes a demand and a maximum number of items,
         # and returns the number placed.
         self._steps = (
-            self._keep_running_in_held,
-            self._keep_held,
-            self._keep_running,
+            self._place_running_at_held,
+            self._place_at_held,
+            self._place_running,
             self._place_remaining,
         )
-        self._kept = {name: owner.expected_in_flight() for name, owner in owners.items()}
-        for kept in self._kept.values():
-            for incarnation, count in kept.items():
+        self._expected_in_flight = {
+            name: owner.expected_in_flight() for name, owner in owners.items()
+        }
+        for expected in self._expected_in_flight.values():
+            for incarnation, count in expected.items():
                 if incarnation in self._free:
                     self._free[incarnation] -= count
 
@@ -193,8 +199,8 @@
             for step in self._steps:
                 step(demand, demand.num_open)
 
-    def _keep_running_in_held(self, demand: _OpenDemand, max_items: int) -> int:
-        """Plan slots held by the owner for items that run at them."""
+    def _place_running_at_held(self, demand: _OpenDemand, max_items: int) -> int:
+        """Plan the slots held by the owner for the items that run there."""
         owner = self._owners[demand.owner]
         incarnations = [
             incarnation
@@ -205,9 +211,9 @@
             incarnation: min(owner.held[incarnation], owner.in_flight.get(incarnation, 0))
             for incarnation in incarnations
         }
-        return self._plan_kept(demand, counts, min(max_items, demand.num_running))
+        return self._place_at_counts(demand, counts, min(max_items, demand.num_running))
 
-    def _keep_held(self, demand: _OpenDemand, max_items: int) -> int:
+    def _place_at_held(self, demand: _OpenDemand, max_items: int) -> int:
         """Plan slots held by the owner, at the workers with most free slots first."""
         held = self._owners[demand.owner].held
         incarnations = [
@@ -216,11 +222,11 @@
             if held.get(incarnation, 0) > 0
         ]
         incarnations.sort(key=lambda incarnation: -self._free.get(incarnation, 0))
-        return self._plan_kept(
+        return self._place_at_counts(
             demand, {incarnation: held[incarnation] for incarnation in incarnations}, max_items
         )
 
-    def _keep_running(self, demand: _OpenDemand, max_items: int) -> int:
+    def _place_running(self, demand: _OpenDemand, max_items: int) -> int:
         """Plan slots for running items, at eligible incarnations first."""
         in_flight = self._owners[demand.owner].in_flight
         elsewhere = sorted(in_flight.keys() - set(demand.demand.incarnations))
@@ -228,25 +234,31 @@
             incarnation: in_flight.get(incarnation, 0)
             for incarnation in [*demand.demand.incarnations, *elsewhere]
         }
-        return self._plan_kept(demand, counts, min(max_items, demand.num_running))
+        return self._place_at_counts(demand, counts, min(max_items, demand.num_running))
 
-    def _plan_kept(self, demand: _OpenDemand, counts: Mapping[str, int], max_items: int) -> int:
-        """Plan at most the given number of slots at each incarnation."""
+    def _place_at_counts(
+        self, demand: _OpenDemand, counts: Mapping[str, int], max_items: int
+    ) -> int:
+        """Plan slots up to the given count per incarnation, including those already planned.
+
+        Returns:
+            Number of slots planned, at most ``max_items``.
+        """
         planned = self._planned[demand.owner]
         num_left = min(max_items, demand.num_open)
-        num_kept = 0
+        num_placed = 0
         for incarnation, count in counts.items():
-            if num_kept >= num_left:
+            if num_placed >= num_left:
                 break
             num_unplanned = min(
                 count - planned.get(incarnation, 0), self._unplanned.get(incarnation, 0)
             )
-            num_added = min(num_unplanned, num_left - num_kept)
+            num_added = min(num_unplanned, num_left - num_placed)
             if num_added > 0:
                 self._plan_slots_at(demand.owner, incarnation, num_added)
-                num_kept += num_added
-        demand.record_placed(num_kept)
-        return num_kept
+                num_placed += num_added
+        demand.record_placed(num_placed)
+        return num_placed
 
     def _place_remaining(self, demand: _OpenDemand, max_items: int) -> int:
         """Plan slots one by one at the incarnation with most free slots."""
@@ -274,10 +286,12 @@
 
     def _plan_slots_at(self, owner: str, incarnation: str, count: int) -> None:
         planned = self._planned[owner].get(incarnation, 0)
-        num_beyond_kept = planned + count - max(self._kept[owner].get(incarnation, 0), planned)
+        num_beyond_expected = (
+            planned + count - max(self._expected_in_flight[owner].get(incarnation, 0), planned)
+        )
         self._planned[owner][incarnation] = planned + count
         self._unplanned[incarnation] -= count
-        self._free[incarnation] -= max(0, num_beyond_kept)
+        self._free[incarnation] -= max(0, num_beyond_expected)
 
     def _distribute_rest(self) -> None:
         """Distribute the slots that no work needs evenly over the owners."""
--- a/src/hollowrack/slots/reporter.py
+++ b/src/hollowrack/slots/reporter.py
@@ -36,7 +36,7 @@
         services: Returns the names of the services whose slots are shared.
         leader: Returns the name of the leader's process; ``None`` if unknown.
         owner: Name of this process.
-        address_of: Returns the leader's address; ``None`` if unknown.
+        leader_address: Returns the leader's address; ``None`` if unknown.
         peers: Transport of reports to other nodes.
     """
 
@@ -47,7 +47,7 @@
         services: Callable[[], list[str]],
         leader: Callable[[], str | None],
         owner: str,
-        address_of: Callable[[], str | None],
+        leader_address: Callable[[], str | None],
         peers: SlotPeers,
     ) -> None:
         self._holder = holder
@@ -55,7 +55,7 @@
         self._services = services
         self._leader = leader
         self._owner = owner
-        self._leader_address = address_of
+        self._leader_address = leader_address
         self._peers = peers
         self._is_urgent = asyncio.Event()
         self._last_report_s: dict[str, float] = {}
