--- a/src/hollowrack/quarantine/registry.py
+++ b/src/hollowrack/quarantine/registry.py
@@ -195,7 +195,8 @@
         )
         evicted = next(not_quarantined, older[0])
         logging.warning(
-            "quarantine limit reached: evicted the request with fingerprint %s", evicted
+            "limit of suspects reached: crashes of the request with fingerprint %s are forgotten",
+            evicted,
         )
         self._clear(evicted)
 
--- a/src/hollowrack/quarantine/replicator.py
+++ b/src/hollowrack/quarantine/replicator.py
@@ -64,11 +64,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start writing changes to the store."""
+        """Start the task that writes changes of suspects to the store."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop writing changes to the store."""
+        """Stop that task without writing pending changes."""
         await cancel_all(self._task)
 
     def apply_change(self, key: str, item: StoredItem | None) -> bool:
@@ -133,7 +133,11 @@
         if isinstance(outcome, Conflict):
             self._apply_conflict(change, outcome)
             return True
-        logging.info("suspect %s: change not written to the store, %s", change.fingerprint, outcome)
+        logging.info(
+            "suspect %s: change not written to the store, will be retried: %s",
+            change.fingerprint,
+            outcome,
+        )
         return False
 
     def _apply_written(self, change: SuspectChange, revision: int) -> None:
