--- a/src/hollowrack/forwarding/dispatch_queue.py
+++ b/src/hollowrack/forwarding/dispatch_queue.py
@@ -34,6 +34,8 @@
         rank: Rank when the queue was last sorted.
         number: Sequence number; breaks ties in order of arrival.
         since_s: Start of the wait, on the loop's clock.
+        service: Name of the service whose workers are eligible.
+        is_eligible: Condition that the worker has to meet.
         avoided: Incarnations that are chosen only if there is no other worker.
         slot: Future that is resolved with the worker at which a slot was reserved.
     """
@@ -69,8 +71,9 @@
 class _PassCache:
     """Caches failed searches for a free slot during one dispatch pass.
 
-    Within a pass slots are only taken, so a search that failed fails again. Without the cache, the
-    cost of a pass would be the number of waiting runs times the number of workers.
+    Within a pass slots are reserved but not released, so that a search that failed would fail
+    again. Without the cache, the cost of a pass would be the number of waiting runs times that of
+    workers.
 
     Args:
         workers: Directory of workers.
--- a/src/hollowrack/forwarding/dispatch_statistics.py
+++ b/src/hollowrack/forwarding/dispatch_statistics.py
@@ -12,7 +12,14 @@
 
 
 class WaitKind(Enum):
-    """What work waits for; the value is the label of the metric."""
+    """What work waits for; the value is the label of the metric.
+
+    Attributes:
+        NODE_QUEUE: A slot at a worker, in the queue of this node.
+        FIRST_EVENT: The first event from the worker of an attempt.
+        WHOLE_ITEM: The end of an item of a job, from its start on this node.
+        LISTING: The listing of the result of an item that has ended.
+    """
 
     NODE_QUEUE = "node_queue"
     FIRST_EVENT = "first_event"
--- a/src/hollowrack/forwarding/forwarder.py
+++ b/src/hollowrack/forwarding/forwarder.py
@@ -114,7 +114,7 @@
         self._back_ends = back_ends
         self._usage = usage
         self._quarantine = quarantine
-        self._early_refusal = LoadShedder(workers, rng)
+        self._load_shedder = LoadShedder(workers, rng)
         self.hedging = HedgePolicy()
         self.call_limiter = CallLimiter(routes, workers)
 
@@ -122,7 +122,7 @@
         """Return a worker's answer, or the error for the caller."""
         deadline_s = request_deadline_s(request)
         service = self._routes.choose_service(request.route)
-        refused = self._early_refusal.check(
+        refused = self._load_shedder.check(
             request.call.request_id, request.route, service, deadline_s - now_s()
         )
         if refused is not None:
@@ -185,13 +185,13 @@
         self._service = service
         self._deadline_s = deadline_s
         self._fingerprint = fingerprint_of(request.call)
-        self._verdict: QuarantineState | None = None
+        self._quarantine_state: QuarantineState | None = None
         self.history = AttemptHistory(request.call, request.route)
         self.failed_answer: CompleteAnswer | None = None
 
     def next_worker(self) -> Worker | None:
         """Return the worker of the next attempt; ``None`` if no further attempt is allowed."""
-        if not self._may_go_on():
+        if not self._may_attempt():
             return None
         worker = self._workers.choose(self._service, self.history.tried)
         if worker is None and self.history.tried:
@@ -200,21 +200,21 @@
 
     def spare_worker(self, late: Worker) -> Worker | None:
         """Return a worker that may run the request in addition to, or instead of, a late one."""
-        if self._route.kind is not RouteKind.SAFE or not self._may_go_on():
+        if self._route.kind is not RouteKind.SAFE or not self._may_attempt():
             return None
         return self._workers.choose_for_hedge(late, self.history.tried)
 
     def spend_hedge_budget(self) -> bool:
-        """Take one hedged attempt from the budget; return whether the budget allowed it."""
+        """Spend one hedged attempt of the budget; return whether the budget allowed it."""
         is_allowed = self._hedging.budget.spend_retry()
         decision = "started" if is_allowed else "denied, budget exhausted"
         logging.info("request %s: hedged attempt %s", self._call.request_id, decision)
         return is_allowed
 
-    def _may_go_on(self) -> bool:
+    def _may_attempt(self) -> bool:
         # Checked before each attempt: other nodes may have reported crashes in the meantime.
-        self._verdict = self._quarantine.quarantine_state(self._fingerprint)
-        return self._verdict is None and self.history.may_retry()
+        self._quarantine_state = self._quarantine.quarantine_state(self._fingerprint)
+        return self._quarantine_state is None and self.history.may_retry()
 
     def late_after_s(self) -> float:
         """Return the time after which an attempt that starts now is late, in seconds."""
@@ -234,7 +234,7 @@
     def record_abandoned(self, worker: Worker) -> None:
         """Record that a late attempt is cancelled in favour of another worker."""
         self._workers.record_failure(worker)
-        self.history.record_failure(worker, "silent")
+        self.history.record_failure(worker, "no answer in time")
 
     async def attempt(self, worker: Worker) -> CompleteAnswer | None:
         """Try one worker; ``None`` if another worker has to be tried."""
@@ -300,6 +300,8 @@
         """Return the answer or error for the caller when no further worker may be tried."""
         if self.failed_answer is not None:
             return self.failed_answer
-        if self._verdict is not None and not self.history.possibly_ran_at:
-            return quarantine_problem(self._verdict, self._fingerprint, self._call.request_id)
+        if self._quarantine_state is not None and not self.history.possibly_ran_at:
+            return quarantine_problem(
+                self._quarantine_state, self._fingerprint, self._call.request_id
+            )
         return self.history.no_worker_left()
--- a/src/hollowrack/forwarding/hedged_run.py
+++ b/src/hollowrack/forwarding/hedged_run.py
@@ -26,7 +26,7 @@
         """
 
     def spend_hedge_budget(self) -> bool:
-        """Take one hedged attempt from the budget; returns whether the budget allowed it."""
+        """Spend one hedged attempt of the budget; return whether the budget allowed it."""
 
     async def attempt(self, worker: Worker) -> Answer_co | None:
         """Try one worker; ``None`` if another worker has to be tried."""
--- a/src/hollowrack/forwarding/hedging.py
+++ b/src/hollowrack/forwarding/hedging.py
@@ -11,9 +11,9 @@
 
 # Quantile of the latencies of a service from which on an attempt is late.
 LATE_QUANTILE = 0.95
-# Latencies kept per service.
+# Number of latencies stored per service.
 WINDOW_SIZE = 64
-# Latencies needed before the quantile is used.
+# Number of latencies needed before the quantile is used.
 MIN_SAMPLES = 8
 # Hedged attempts as a fraction of requests; bounds the additional load.
 HEDGE_FRACTION = 0.1
--- a/src/hollowrack/forwarding/load_log.py
+++ b/src/hollowrack/forwarding/load_log.py
@@ -8,7 +8,6 @@
 from hollowrack.forwarding.back_end import NotRunReason
 from hollowrack.forwarding.dispatch_queue import DispatchQueue, WaitingLoad
 
-# Short compared with the few seconds within which results are due.
 LOG_INTERVAL_S = 1.0
 
 _NO_LOAD = WaitingLoad(0, 0.0)
--- a/src/hollowrack/forwarding/load_shedding.py
+++ b/src/hollowrack/forwarding/load_shedding.py
@@ -41,7 +41,7 @@
             request_id: Identifier of the request, which has not been sent to any worker.
             route: Route of the request.
             service: Service that would run it.
-            time_left_s: Time until the caller's deadline, in seconds.
+            time_left_s: Time until the deadline of the request, in seconds.
         """
         latency_s = self._workers.lowest_expected_latency_s(service, route.name)
         if latency_s is None or latency_s <= time_left_s:
--- a/src/hollowrack/forwarding/resumable_run.py
+++ b/src/hollowrack/forwarding/resumable_run.py
@@ -54,9 +54,9 @@
 class RunEndedError(Exception):
     """Raised if a run ends without its last event."""
 
-    def __init__(self, end: RunEndReason) -> None:
-        super().__init__(end.value)
-        self.reason = end
+    def __init__(self, reason: RunEndReason) -> None:
+        super().__init__(reason.value)
+        self.reason = reason
 
 
 @dataclass(frozen=True)
@@ -211,7 +211,7 @@
                     "run %s: worker %s: %s after event %s",
                     self._call.request_id,
                     worker.incarnation,
-                    str(error) or "silent",
+                    str(error) or "timed out",
                     self._last_number,
                 )
                 if isinstance(error, BrokenAnswerError):
--- a/src/hollowrack/forwarding/route_table.py
+++ b/src/hollowrack/forwarding/route_table.py
@@ -35,7 +35,7 @@
         self._by_host: dict[str, list[Route]] = {}
         self._num_plain_routes: Counter[str] = Counter()
         self._credits: dict[tuple[str, str], float] = {}
-        self._services_with_ranks: frozenset[str] = frozenset()
+        self._services_with_priorities: frozenset[str] = frozenset()
 
     @property
     def version(self) -> int | None:
@@ -87,7 +87,7 @@
         for routes in by_host.values():
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
         self._by_host = dict(by_host)
-        self._services_with_ranks = _services_with_ranks(configuration.routes)
+        self._services_with_priorities = _services_with_priorities(configuration.routes)
         self._num_plain_routes = Counter(
             target.service
             for route in configuration.routes
@@ -97,7 +97,9 @@
         self._configuration = configuration
         self._changed.set()
         self._changed = asyncio.Event()
-        logging.info("configuration %d in force, before: %s", configuration.version, current)
+        logging.info(
+            "configuration %d in force, previous version: %s", configuration.version, current
+        )
         return True
 
     def lookup(self, host: str, path: str) -> Route | None:
@@ -162,7 +164,7 @@
         Returns:
             The priority; ``None`` if all routes of the service have the same one.
         """
-        return priority if service in self._services_with_ranks else None
+        return priority if service in self._services_with_priorities else None
 
     def choose_service(self, route: Route) -> str:
         """Choose a service of a route by smooth weighted round robin."""
@@ -181,10 +183,10 @@
         return best.service
 
 
-def _services_with_ranks(routes: Iterable[Route]) -> frozenset[str]:
+def _services_with_priorities(routes: Iterable[Route]) -> frozenset[str]:
     """Return the services whose routes differ in priority."""
     priorities: defaultdict[str, set[int]] = defaultdict(set)
     for route in routes:
         for target in route.targets:
             priorities[target.service].add(route.priority)
-    return frozenset(service for service, found in priorities.items() if len(found) > 1)
+    return frozenset(service for service, values in priorities.items() if len(values) > 1)
--- a/src/hollowrack/forwarding/run_retry_policy.py
+++ b/src/hollowrack/forwarding/run_retry_policy.py
@@ -22,7 +22,8 @@
     cause.
 
     Args:
-        max_suspects: Number of failed workers from which on the backoff applies to all workers.
+        max_failed_workers: Number of failed workers from which on the backoff applies to all
+            workers.
         max_workers: Maximum number of current incarnations that the run may start at; ``None`` for
             no limit.
         is_current: Returns whether an incarnation is the current one of its worker.
@@ -31,12 +32,12 @@
 
     def __init__(
         self,
-        max_suspects: int,
+        max_failed_workers: int,
         max_workers: int | None,
         is_current: Callable[[WorkerIncarnation], bool],
         rng: random.Random,
     ) -> None:
-        self._max_suspects = max_suspects
+        self._max_failed_workers = max_failed_workers
         self._max_workers = max_workers
         self._is_current = is_current
         self._backoff = Backoff(INITIAL_BACKOFF_S, MAX_BACKOFF_S, rng)
@@ -80,7 +81,7 @@
         if not self._is_within_max_workers(worker):
             return False
         has_not_failed = worker.incarnation not in self._failed_at
-        if has_not_failed and len(self._failed_at) < self._max_suspects:
+        if has_not_failed and len(self._failed_at) < self._max_failed_workers:
             return now_s() >= self._retry_others_from_s
         return now_s() >= self._retry_any_from_s
 
--- a/src/hollowrack/forwarding/stream_forwarder.py
+++ b/src/hollowrack/forwarding/stream_forwarder.py
@@ -139,9 +139,9 @@
             if has_started:
                 raise BrokenAnswerError(str(error)) from error
             fingerprint = fingerprint_of(request.call)
-            verdict = self._quarantine.quarantine_state(fingerprint)
-            if verdict is not None and run.num_attempts == 0:
-                yield quarantine_problem(verdict, fingerprint, request.call.request_id)
+            quarantine_state = self._quarantine.quarantine_state(fingerprint)
+            if quarantine_state is not None and run.num_attempts == 0:
+                yield quarantine_problem(quarantine_state, fingerprint, request.call.request_id)
             else:
                 yield Problem(ResultCode.BACK_END_FAILED, str(error), request.call.request_id)
 
@@ -152,9 +152,9 @@
         self, request: ForwardRequest, after_event: int | None
     ) -> AsyncGenerator[StreamPart]:
         fingerprint = fingerprint_of(request.call)
-        verdict = self._quarantine.quarantine_state(fingerprint)
-        if verdict is not None:
-            yield quarantine_problem(verdict, fingerprint, request.call.request_id)
+        quarantine_state = self._quarantine.quarantine_state(fingerprint)
+        if quarantine_state is not None:
+            yield quarantine_problem(quarantine_state, fingerprint, request.call.request_id)
             return
         service = self._routes.choose_service(request.route)
         refused: set[WorkerIncarnation] = set()
@@ -175,7 +175,7 @@
                 self._workers.record_not_run(worker, error.reason)
             finally:
                 self._workers.release_slot(worker)
-        detail = "no worker took the request"
+        detail = "no worker accepted the request"
         yield Problem(ResultCode.NO_BACK_END, detail, request.call.request_id, RETRY_AFTER_S)
 
     async def _chunks(
--- a/src/hollowrack/forwarding/worker_event_intervals.py
+++ b/src/hollowrack/forwarding/worker_event_intervals.py
@@ -1,7 +1,7 @@
 """Statistics of the interval between events of workers' streams, used to place runs.
 
 The interval is a property of the worker. The latency of a plain request depends on the request as
-well and is tracked by :mod:`hollowrack.forwarding.worker_load`.
+well: it is recorded here too, but :mod:`hollowrack.forwarding.worker_load` places plain requests.
 """
 
 import math
@@ -13,7 +13,7 @@
 from hollowrack.clock import now_s
 from hollowrack.forwarding.types import Worker, WorkerIncarnation
 
-# Intervals kept per worker, and the number of events between updates of their median.
+# Number of intervals stored per worker, and of events between updates of their median.
 WINDOW_SIZE = 64
 EVENTS_BETWEEN_MEDIANS = 8
 # Time constant of the decay of recent slowness, so that a slow worker is tried again.
@@ -61,7 +61,7 @@
         self._best_intervals_s: dict[str, float] = {}
 
     def record(self, worker: Worker, seconds: float) -> None:
-        """Record the interval before one event, in seconds."""
+        """Record the interval before one event, or the latency of a plain request, in seconds."""
         stats = self._intervals.setdefault(worker.incarnation, _IntervalStats())
         stats.intervals_s.append(seconds)
         stats.recorded_s = now_s()
@@ -88,12 +88,12 @@
         return self._slowness(worker, PLACEMENT_DECAY_TIME_S, MIN_PLACEMENT_SLOWNESS)
 
     def time_saved_s(self, worker: Worker, other: Worker | None, num_units: float) -> float:
-        """Return the time saved by moving work to another worker, in seconds.
+        """Return the time saved by moving a run to another worker, in seconds.
 
         Args:
-            worker: The worker that does the work now.
+            worker: The current worker of the run.
             other: The other worker; ``None`` for the fastest of the service.
-            num_units: Number of units of work.
+            num_units: Number of remaining events of the run.
         """
         interval_s = self._known_interval_s(worker)
         if interval_s is None:
--- a/src/hollowrack/forwarding/worker_load.py
+++ b/src/hollowrack/forwarding/worker_load.py
@@ -35,7 +35,7 @@
 REMOTE_FACTOR = 1.25
 # Expected latencies within this factor count as equal.
 EQUALITY_FACTOR = 1.05
-# Routes whose typical latency is kept; the least recently used are evicted.
+# Number of routes whose typical latency is stored; the least recently used are evicted.
 MAX_ROUTES = 64
 # Lower bound of latencies, since their logarithm is taken.
 MIN_LATENCY_S = 0.001
@@ -115,7 +115,7 @@
 
     @property
     def num_known(self) -> int:
-        """Number of incarnations whose state is kept."""
+        """Number of incarnations with stored state."""
         return len(self._stats)
 
     def remove(self, incarnation: WorkerIncarnation) -> None:
@@ -123,12 +123,13 @@
         self._stats.pop(incarnation, None)
 
     def record_answer(self, worker: Worker, route: str, seconds: float) -> None:
-        """Record the latency of one unit of a route's work.
+        """Record the latency of a request or the interval before an event of a stream.
 
         Args:
-            worker: The worker that did the work.
-            route: Name of the route; latencies are compared within one route only.
-            seconds: Latency in seconds.
+            worker: The worker that answered.
+            route: Name of the route, empty for events of streams; latencies are compared within one
+                route only.
+            seconds: Latency or interval, in seconds.
         """
         log_s = math.log(max(MIN_LATENCY_S, seconds))
         key = (worker.service, route)
--- a/src/hollowrack/forwarding/workers.py
+++ b/src/hollowrack/forwarding/workers.py
@@ -17,16 +17,27 @@
 UNREACHABLE_BACKOFF_S = 0.5
 MAX_UNREACHABLE_BACKOFF_S = 4.0
 FAILURE_BACKOFF_S = 0.15
+# Cost of a worker in another zone when runs are placed; a slowness of 1 costs 1.
 REMOTE_ZONE_PENALTY = 0.06
-# Cost of a full worker compared with an idle one when runs are placed; a slowness of 1 costs 1.
+# Cost of a full worker compared with an idle one when runs are placed.
 PLACEMENT_LOAD_WEIGHT = 0.25
+# Factor of the failure score at each success, and of its previous value at each failure.
 FAILURE_DECAY = 0.5
+# Cost per unit of the failure score when runs are placed.
 FAILURE_WEIGHT = 2.0
 
 
 @dataclass
 class _Observations:
-    """This node's requests to one incarnation of a worker and the failures it observed."""
+    """This node's requests to one incarnation of a worker and the failures it observed.
+
+    Attributes:
+        num_in_flight: Requests of this node in flight there.
+        backoff_until_s: End of the backoff, on the loop's clock.
+        num_consecutive_failures: Failures since the last success, unreachable ones included.
+        num_consecutive_refusals: Refusals since the last success; concurrent ones count once.
+        failure_score: Decaying sum of failures, by :data:`FAILURE_DECAY`.
+    """
 
     num_in_flight: int = 0
     backoff_until_s: float = -float("inf")
@@ -153,8 +164,8 @@
     ) -> Worker | None:
         """Choose a worker for a hedged attempt of a request that is late at another worker.
 
-        Only workers that have a free slot, are not backing off and are expected to
-        answer sooner are considered: if all workers are slow, hedging only adds load.
+        Only workers that have a free slot, are not backing off and are expected to answer sooner
+        are considered: if all workers are slow, hedging only adds load.
         """
         candidates = [
             worker
@@ -171,7 +182,7 @@
 
         Args:
             service: Name of the service.
-            work: Kind of work; latencies are tracked separately for each kind.
+            work: Name of the request's route; latencies are tracked separately for each route.
 
         Returns:
             The latency in seconds; ``None`` if any worker has a free slot or no known latency.
@@ -238,7 +249,7 @@
         )
 
     def reserve_slot(self, worker: Worker) -> None:
-        """Count a request that is sent to a worker."""
+        """Reserve a slot for a request that is sent to a worker."""
         self._observations.setdefault(worker.incarnation, _Observations()).num_in_flight += 1
 
     def release_slot(self, worker: Worker) -> None:
@@ -260,12 +271,13 @@
         observations.failure_score *= FAILURE_DECAY
 
     def record_latency(self, worker: Worker, seconds: float, work: str = "") -> None:
-        """Record the latency of one unit of work: a request, or an event of a stream.
+        """Record the latency of a request or the interval before an event of a stream.
 
         Args:
-            worker: The worker that did the work.
-            seconds: Latency in seconds.
-            work: Kind of work; latencies are compared within one kind only.
+            worker: The worker that answered.
+            seconds: Latency or interval, in seconds.
+            work: Name of the request's route, empty for events of streams; latencies are compared
+                within one route only.
         """
         if not self.is_current(worker.incarnation):
             return  # State of an incarnation that has ended would never be removed.
@@ -277,12 +289,12 @@
         return self._event_intervals.is_much_slower(worker)
 
     def time_saved_s(self, worker: Worker, other: Worker | None, num_units: float) -> float:
-        """Return the time saved by moving work to another worker, in seconds.
+        """Return the time saved by moving a run to another worker, in seconds.
 
         Args:
-            worker: The worker that does the work now.
+            worker: The current worker of the run.
             other: The other worker; ``None`` for the fastest of the service.
-            num_units: Number of units of work.
+            num_units: Number of remaining events of the run.
         """
         return self._event_intervals.time_saved_s(worker, other, num_units)
 
--- a/src/hollowrack_bench/soak_checks.py
+++ b/src/hollowrack_bench/soak_checks.py
@@ -14,7 +14,8 @@
 TENANT = "ana"
 SCORER_MARK = ".score-"
 _UNSURE_ATTEMPT = re.compile(
-    r"request \S+: worker \S+: (silent|the answer belongs to another request)|no answer yet"
+    r"request \S+: worker \S+: (no answer in time|the answer belongs to another request)"
+    r"|no answer yet"
 )
 
 
