--- a/src/hollowrack_standins/back_ends.py
+++ b/src/hollowrack_standins/back_ends.py
@@ -246,7 +246,7 @@
             yield f"id: {number}\ndata: {data}\n\n".encode()
 
     def abort(self) -> None:
-        """Release the slot of the request; the caller no longer needs the answer."""
+        """End the request at its worker; the caller no longer needs the answer."""
         if not self._is_aborted:
             self._is_aborted = True
             self._back_ends.running[self._worker.id] -= 1
