--- a/src/hollowrack_standins/coordination_store.py
+++ b/src/hollowrack_standins/coordination_store.py
@@ -84,7 +84,7 @@
         self._history.clear()
         self._compacted_revision = self.revision
 
-    def write_silently(self, puts: Sequence[Put]) -> None:
+    def put_without_notifying(self, puts: Sequence[Put]) -> None:
         """Write without notifying waiting watches, then compact."""
         changed, self._changed = self._changed, asyncio.Event()
         self.transact([], puts, [])
--- a/src/hollowrack_standins/trainer.py
+++ b/src/hollowrack_standins/trainer.py
@@ -61,8 +61,8 @@
         ages_versions: Age of each delivered sample, in weight versions.
         idle_s: Time spent waiting for samples, in seconds.
         total_s: Duration of the run, in seconds.
-        num_unnamed: Number of samples whose version spans do not cover all their tokens.
-        num_over_age: Number of samples older than the maximum age.
+        num_incomplete_spans: Number of samples whose version spans do not cover all their tokens.
+        num_stale: Number of samples older than the maximum age.
         num_retries: Number of retried calls.
     """
 
@@ -70,8 +70,8 @@
     ages_versions: list[int] = field(default_factory=list)
     idle_s: float = 0.0
     total_s: float = 0.0
-    num_unnamed: int = 0
-    num_over_age: int = 0
+    num_incomplete_spans: int = 0
+    num_stale: int = 0
     num_retries: int = 0
 
     @property
@@ -171,14 +171,14 @@
         self.report.delivered[f"{slot['step']}/{slot['prompt']}/{slot['sample_index']}"] += 1
         self.report.ages_versions.append(sample["age_versions"])
         if sample["age_versions"] > self.config.max_staleness_versions:
-            self.report.num_over_age += 1
+            self.report.num_stale += 1
         num_covered = 0
         for span in sample["spans"]:
             if span["first_token"] != num_covered:
                 break
             num_covered = span["end_token"]
         if num_covered != sample["num_tokens"] or not num_covered:
-            self.report.num_unnamed += 1
+            self.report.num_incomplete_spans += 1
 
     async def _train(self, step: int) -> None:
         await asyncio.sleep(self.config.train_s)
