--- a/src/hollowrack/api/callers.py
+++ b/src/hollowrack/api/callers.py
@@ -1,7 +1,8 @@
 """Callers' API: OpenAI-compatible completions, service pools and lookup of finished answers.
 
 Headers: ``X-Request-Id`` identifies a request (generated if absent), ``Idempotency-Key`` identifies
-a request that must run at most once, ``X-Tenant`` is its tenant and ``X-Timeout-S`` its timeout.
+a request that must run at most once, ``X-Tenant`` is its tenant and ``X-Timeout-S`` its timeout in
+seconds.
 """
 
 import asyncio
@@ -199,13 +200,17 @@
             return Failure(Problem(ResultCode.BAD_REQUEST, f"{error}.", "headers"))
 
     def _response(
-        self, face: str, request_id: str, started_s: float, result: Result[RecordedAnswer, Problem]
+        self,
+        endpoint: str,
+        request_id: str,
+        started_s: float,
+        result: Result[RecordedAnswer, Problem],
     ) -> Response:
         if isinstance(result, Failure):
-            return self._problem_response(face, result.failure(), request_id)
+            return self._problem_response(endpoint, result.failure(), request_id)
         answer = result.unwrap()
-        self._metrics.requests.labels(face=face, code=ResultCode.OK.name).inc()
-        self._metrics.request_seconds.labels(face=face).observe(now_s() - started_s)
+        self._metrics.requests.labels(face=endpoint, code=ResultCode.OK.name).inc()
+        self._metrics.request_seconds.labels(face=endpoint).observe(now_s() - started_s)
         return Response(
             answer.body,
             status_code=answer.http_status,
@@ -213,8 +218,8 @@
             headers={"X-Request-Id": request_id},
         )
 
-    def _problem_response(self, face: str, problem: Problem, request_id: str = "") -> Response:
-        self._metrics.requests.labels(face=face, code=problem.code.name).inc()
+    def _problem_response(self, endpoint: str, problem: Problem, request_id: str = "") -> Response:
+        self._metrics.requests.labels(face=endpoint, code=problem.code.name).inc()
         response = problem_response(problem)
         if request_id:
             response.headers["X-Request-Id"] = request_id
--- a/src/hollowrack/api/operators.py
+++ b/src/hollowrack/api/operators.py
@@ -104,10 +104,10 @@
             )
         except binascii.Error as error:
             return problem_response(Problem(ResultCode.BAD_REQUEST, f"{error}.", "body"))
-        opened = verify_bundle(signed, self._trusted_signers)
-        if isinstance(opened, Failure):
-            return problem_response(opened.failure())
-        revision = opened.unwrap().revision
+        verified = verify_bundle(signed, self._trusted_signers)
+        if isinstance(verified, Failure):
+            return problem_response(verified.failure())
+        revision = verified.unwrap().revision
         accepted = await self._store.accept(revision, signed)
         if isinstance(accepted, Failure):
             return problem_response(accepted.failure())
--- a/src/hollowrack/api/responses.py
+++ b/src/hollowrack/api/responses.py
@@ -86,6 +86,6 @@
 async def read_json(
     request: Request, body_type: type[Body], max_bytes: int
 ) -> Result[Body, Problem]:
-    """Read, parse and validate a JSON body; fails as :func:`read_body`, :func:`parse_body`."""
+    """Read and parse a JSON body; fails as :func:`read_body` and :func:`parse_body` do."""
     data = await read_body(request, max_bytes)
     return data.bind(lambda raw: parse_body(raw, body_type))
--- a/src/hollowrack/api/server.py
+++ b/src/hollowrack/api/server.py
@@ -39,7 +39,7 @@
         max_connections: Maximum number of connections; further ones receive status 503.
         read_timeout_s: Timeout for reading one request, in seconds.
         idle_timeout_s: Keep-alive timeout of idle connections, in seconds.
-        graceful_stop_s: Time for open requests to finish at a stop, in seconds.
+        graceful_stop_s: Maximum time for open requests to finish at a stop, in seconds.
     """
 
     def __init__(
--- a/src/hollowrack/api/trainers.py
+++ b/src/hollowrack/api/trainers.py
@@ -204,5 +204,5 @@
 
 
 def _json_response(value: object) -> Response:
-    # Sorted keys make_command repeated reads of a cursor byte-identical.
+    # With sorted keys, repeated reads of a cursor are byte-identical.
     return Response(json.dumps(value, sort_keys=True), media_type="application/json")
--- a/src/hollowrack/bundle/agent.py
+++ b/src/hollowrack/bundle/agent.py
@@ -46,6 +46,10 @@
         trusted_signers: Public keys of the signers, in hex, by name.
         decisions: Log of the decisions.
         rng: Selects the peers to pull from.
+
+    Attributes:
+        bundle: The current bundle; ``None`` until one has been applied.
+        on_applied: Called with each newly applied bundle.
     """
 
     def __init__(
@@ -88,13 +92,14 @@
     def apply_if_newer(self, signed: SignedBundle) -> Result[Bundle, Problem]:
         """Apply a bundle if its signature and content are valid and it is newer.
 
-        Fails with ``BUNDLE_REVISION_LOWER`` if it is not newer, or the codes of ``verify_bundle``.
+        Applying the current bundle again has no effect and succeeds. Fails with
+        ``BUNDLE_REVISION_LOWER`` if another bundle is not newer, or the codes of ``verify_bundle``.
         """
-        opened = verify_bundle(signed, self._trusted_signers)
-        if isinstance(opened, Failure):
-            logging.warning("bundle rejected: %s", opened.failure())
-            return opened
-        bundle = opened.unwrap()
+        verified = verify_bundle(signed, self._trusted_signers)
+        if isinstance(verified, Failure):
+            logging.warning("bundle rejected: %s", verified.failure())
+            return verified
+        bundle = verified.unwrap()
         if bundle.revision == self.revision and self._signed == signed:
             return Success(bundle)
         if bundle.revision <= self.revision:
@@ -117,7 +122,7 @@
             ProblemError: ``BUNDLE_REVISION_LOWER`` if its revision is below ``min_revision``.
         """
         if self._signed is None or self.revision < request.min_revision:
-            detail = f"revision {self.revision} is in force here"
+            detail = f"revision {self.revision} is in force on this node"
             raise ProblemError(Problem(ResultCode.BUNDLE_REVISION_LOWER, detail, "revision"))
         return self._signed
 
--- a/src/hollowrack/bundle/schema.py
+++ b/src/hollowrack/bundle/schema.py
@@ -19,14 +19,14 @@
 
     min_replicas: int = Field(default=1, ge=0, description="Engines that must hold the model.")
     training_room: Share = Field(
-        default=0.75, description="Share of an engine's slots that training may use beside live."
+        default=0.75, description="Maximum fraction of an engine's slots that training may use."
     )
 
 
 class ServicePool(_Section):
     """One pool of service workers."""
 
-    timeout_s: float = Field(default=10.0, gt=0, description="Longest wait for an answer.")
+    timeout_s: float = Field(default=10.0, gt=0, description="Timeout of a request, in seconds.")
 
 
 class Measures(_Section):
@@ -52,7 +52,7 @@
         default_factory=dict, description="Fair-share weights by tenant; others weigh one."
     )
     drain_deadline_s: float = Field(
-        default=30.0, gt=0, description="Longest planned stop before work is moved, in seconds."
+        default=30.0, gt=0, description="Longest wait for running requests at a stop, in seconds."
     )
 
     @model_validator(mode="after")
--- a/src/hollowrack/bundle/signing.py
+++ b/src/hollowrack/bundle/signing.py
@@ -71,6 +71,9 @@
         verifier.verify(signed.signature, _SIGNATURE_CONTEXT + signed.document)
         values = json.loads(signed.document)
     except (InvalidSignature, ValueError) as error:
-        detail = f"{type(error).__name__}: the document was changed after it was signed"
+        detail = (
+            f"{type(error).__name__}: the document was changed after it was signed, "
+            "or the document or the public key is malformed"
+        )
         return Failure(Problem(ResultCode.BUNDLE_SIGNATURE_INVALID, detail, "signature"))
     return parse_bundle(values)
--- a/src/hollowrack/node.py
+++ b/src/hollowrack/node.py
@@ -39,6 +39,9 @@
         settings: Validated settings.
         seed: Seed of all random choices; ``None`` selects a random seed.
 
+    Attributes:
+        drained: Set when a graceful stop is complete.
+
     Raises:
         ProblemError: ``CLUSTER_KEY_INVALID``.
         OSError: If the data folder cannot be used.
--- a/src/hollowrack/requests/answer_store.py
+++ b/src/hollowrack/requests/answer_store.py
@@ -32,5 +32,5 @@
             self._num_bytes -= len(evicted.body)
 
     def find(self, request_id: str) -> RecordedAnswer | None:
-        """Return the answer stored for an identifier."""
+        """Return the answer stored for an identifier; ``None`` if there is none."""
         return self._answers.get(request_id)
--- a/src/hollowrack/requests/at_most_once.py
+++ b/src/hollowrack/requests/at_most_once.py
@@ -3,7 +3,7 @@
 The claim is committed to the replicated log before the first byte is sent. When a repetition finds
 a held claim, it asks the node that made the attempt for its status. A node that still runs under
 the same incarnation knows whether the attempt is running or did not run. Otherwise the outcome is
-unknown, and the claim is abandoned, which ends all repetitions without a wait.
+unknown, and the claim is abandoned, so that repetitions fail at once instead of waiting.
 """
 
 import asyncio
--- a/src/hollowrack/requests/claims.py
+++ b/src/hollowrack/requests/claims.py
@@ -125,7 +125,7 @@
         max_kept_claims: int = MAX_KEPT_CLAIMS,
         max_answer_bytes: int = MAX_KEPT_ANSWER_BYTES,
     ) -> None:
-        self._max_kept_claims = max_kept_claims
+        self._max_ended_claims = max_kept_claims
         self._max_answer_bytes = max_answer_bytes
         self._state = ClaimsSnapshot()
 
@@ -216,7 +216,7 @@
 
     def _evict_claims(self) -> None:
         state = self._state
-        while len(state.ended_order) > self._max_kept_claims:
+        while len(state.ended_order) > self._max_ended_claims:
             request_id = state.ended_order.pop(0)
             claim = state.claims.pop(request_id)
             if claim.answer is not None:
--- a/src/hollowrack/requests/gateway.py
+++ b/src/hollowrack/requests/gateway.py
@@ -183,7 +183,7 @@
             detail = "this node is stopping"
             return Failure(Problem(ResultCode.STOPPING, detail, request_id, STOPPING_RETRY_AFTER_S))
         if self.num_in_progress >= self._max_requests:
-            detail = f"{self.num_in_progress} requests are in progress on this node"
+            detail = f"{self.num_in_progress} requests are in progress on this node, its maximum"
             return Failure(
                 Problem(ResultCode.OVERLOADED, detail, request_id, STOPPING_RETRY_AFTER_S)
             )
--- a/src/hollowrack/requests/generation.py
+++ b/src/hollowrack/requests/generation.py
@@ -69,7 +69,7 @@
     Attributes:
         spans: Tokens by weight version.
         texts: Text of each chunk.
-        finish_reason: As in the last chunk; ``None`` if the generation is not finished.
+        finish_reason: Finish reason in the last chunk; ``None`` if the generation is not finished.
         num_engines: Number of engines that accepted the generation.
     """
 
@@ -150,7 +150,9 @@
             if attempt and not self._budget.spend_retry():
                 break
             if now_s() >= plan.deadline_s:
-                expired = state.refuse(NotRunCode.DEADLINE_EXPIRED, "the deadline passed")
+                expired = state.refuse(
+                    NotRunCode.DEADLINE_EXPIRED, "the deadline passed before the request ran"
+                )
                 return Failure(unresolved or expired.problem)
             placed = await self._placer.place(_placement_request(plan, tried, attempt))
             if isinstance(placed, Failure):
--- a/src/hollowrack/requests/retry_budget.py
+++ b/src/hollowrack/requests/retry_budget.py
@@ -18,7 +18,7 @@
     """
 
     def __init__(self, ratio: float = RETRY_RATIO, max_saved: float = MAX_SAVED_RETRIES) -> None:
-        self._share = ratio
+        self._ratio = ratio
         self._max_saved = max_saved
         self._saved = min(_INITIAL_RETRIES, max_saved)
         self.num_requests = 0
@@ -27,7 +27,7 @@
     def record_request(self) -> None:
         """Record a first attempt."""
         self.num_requests += 1
-        self._saved = min(self._max_saved, self._saved + self._share)
+        self._saved = min(self._max_saved, self._saved + self._ratio)
 
     def spend_retry(self) -> bool:
         """Spend a retry if the budget allows one; return whether it did."""
--- a/src/hollowrack/requests/service_forwarder.py
+++ b/src/hollowrack/requests/service_forwarder.py
@@ -61,7 +61,9 @@
             if attempt and not self._budget.spend_retry():
                 break
             if now_s() >= deadline_s:
-                expired = state.refuse(NotRunCode.DEADLINE_EXPIRED, "the deadline passed")
+                expired = state.refuse(
+                    NotRunCode.DEADLINE_EXPIRED, "the deadline passed before the request ran"
+                )
                 return Failure(unresolved or expired.problem)
             placed = await self._placer.place(_placement_request(request, tried, attempt))
             if isinstance(placed, Failure):
--- a/src/hollowrack/rollout/coordinator.py
+++ b/src/hollowrack/rollout/coordinator.py
@@ -79,7 +79,7 @@
     slots: dict[SampleSlot, _RunningSlot] = field(default_factory=dict)
 
     def record_report(self, node: str, reported: tuple[SampleSlot, ...]) -> None:
-        """Record which slots a node runs; removes its other slots unless just assigned."""
+        """Record which slots a node runs; removes its other slots after the grace period."""
         reported_set = set(reported)
         for slot in reported:
             self.slots[slot] = _RunningSlot(node, now_s())
@@ -103,6 +103,9 @@
         ledger: Local replica of the run's ledger.
         running: Running slots of the run; maintained by every member of the ledger's group.
         context: Components of the node.
+
+    Attributes:
+        training_room: Fraction of an engine's slots that training may use.
     """
 
     def __init__(
@@ -124,10 +127,10 @@
         self._running.remove_expired()
         if state.settings is None or self._awaits_first_reports():
             return
-        open_slots = {slot for slot in self._running.slots if self._ledger.is_open(slot)}
+        running_slots = {slot for slot in self._running.slots if self._ledger.is_open(slot)}
         max_running = self._num_training_slots(state.settings.model)
         history = self._ledger.history
-        for dispatch in plan_dispatches(state, open_slots, history, max_running):
+        for dispatch in plan_dispatches(state, running_slots, history, max_running):
             self._assign(dispatch, state.settings)
 
     def _awaits_first_reports(self) -> bool:
@@ -191,8 +194,8 @@
         """
         problem = self._check_cursor(request)
         if problem is not None:
-            # A leader that was just elected, or that has been replaced unknowingly, may lag behind.
-            # Committing a no-op brings it up to date or fails if it is not the leader.
+            # A leader that was just elected, or does not know that it was replaced, may lag behind.
+            # Committing a no-op brings it up to date, or fails if it is not the leader.
             no_op = await self._hand_over(request, max_samples=0)
             if isinstance(no_op, Failure):
                 return Failure(no_op.failure())
@@ -202,6 +205,7 @@
         deadline_s = now_s() + min(request.wait_s, MAX_POLL_WAIT_S)
         while True:
             if not self._context.host.leads(run_group(self._run)):
+                # The detail of NOT_LEADER is the leader's node; empty because it is unknown here.
                 return Failure(Problem(ResultCode.NOT_LEADER, "", self._run))
             samples = self._ledger.handed_over_after(request.cursor, request.max_samples)
             step = self._ledger.state.steps[request.step]
--- a/src/hollowrack/rollout/executor.py
+++ b/src/hollowrack/rollout/executor.py
@@ -194,7 +194,9 @@
         age = self._context.trainer_version(assignment.run) - spans.oldest_version
         if age <= assignment.max_staleness_versions:
             return None
-        return Problem(ResultCode.SAMPLE_STALE, f"{age} versions old while running")
+        return Problem(
+            ResultCode.SAMPLE_STALE, f"{age} weight versions old during generation, over the bound"
+        )
 
     async def _commit(self, assignment: Assignment, generated: GeneratedText) -> None:
         sample = Sample(
--- a/src/hollowrack/rollout/service.py
+++ b/src/hollowrack/rollout/service.py
@@ -35,6 +35,9 @@
         training_room: Returns the fraction of an engine's slots that training may use, by model.
         on_version: Called with run, model and trainer's version in every reconciliation of a run
             that this node leads.
+
+    Attributes:
+        is_stopping: Set when the node stops; ends the long polls in progress.
     """
 
     def __init__(
@@ -90,7 +93,7 @@
         coordinator.reconcile()
 
     def receive_report(self, report: RunningSlotsReport) -> None:
-        """Record a report; all members of the ledger's group do, as any may be the next leader."""
+        """Record a report if this node is in the ledger's group and so may become its leader."""
         if run_group(report.run) in self._host.groups:
             self._running_table(report.run).record_report(report.node, report.slots)
 
@@ -158,6 +161,7 @@
         """
         coordinator = self._coordinators.get(request.run)
         if coordinator is None or not self._host.leads(run_group(request.run)):
+            # The detail of NOT_LEADER is the leader's node; empty because it is unknown here.
             raise ProblemError(Problem(ResultCode.NOT_LEADER, "", request.run))
         if isinstance(request, ReadSamples):
             return value_or_raise(await coordinator.read_samples(request))
--- a/src/hollowrack/routing/broker.py
+++ b/src/hollowrack/routing/broker.py
@@ -79,7 +79,7 @@
     Attributes:
         placement: The placement.
         node: Node that requested it.
-        last_report_s: Time of the node's last report of it, in seconds.
+        last_report_s: Time of the node's last report of it, in seconds on the monotonic clock.
     """
 
     placement: Placement
@@ -247,19 +247,19 @@
         Places by this node's own view if a broker is unreachable.
         """
         zones = self._zones_by_free_slots(request.route)
-        refused: Result[Placement, Problem] | None = None
+        result: Result[Placement, Problem] | None = None
         for zone in zones:
-            refused = await self._place_in(zone, request, may_queue=False)
-            if isinstance(refused, Success):
-                return refused
-            if refused.failure().code is ResultCode.PEER_UNREACHABLE:
+            result = await self._place_in(zone, request, may_queue=False)
+            if isinstance(result, Success):
+                return result
+            if result.failure().code is ResultCode.PEER_UNREACHABLE:
                 return await self._place_locally(request)
         is_waiting_useful = request.route.priority is Priority.LIVE and request.may_queue
         if zones and is_waiting_useful and request.needs_admission:
-            refused = await self._place_in(zones[0], request, may_queue=True)
-        if refused is None or _is_unreachable(refused):
+            result = await self._place_in(zones[0], request, may_queue=True)
+        if result is None or _is_unreachable(result):
             return await self._place_locally(request)
-        return refused
+        return result
 
     def finish(self, placement: Placement, outcome: PlacementOutcome, service_s: float) -> None:
         """Release a placement at the placer that made it."""
--- a/src/hollowrack/routing/choice.py
+++ b/src/hollowrack/routing/choice.py
@@ -150,7 +150,7 @@
 def no_back_end(request: RouteRequest, back_ends: Sequence[BackEnd]) -> Failure[Problem]:
     """Return the failure for a request that no back end can serve."""
     num_in_pool = sum(1 for back_end in back_ends if back_end.pool == request.pool)
-    detail = f"none of {num_in_pool} back ends of {request.pool!r} can take the request"
+    detail = f"none of {num_in_pool} back ends of {request.pool!r} can serve the request"
     return Failure(
         Problem(
             ResultCode.NO_BACK_END, detail, request.pool, retry_after_s=NO_BACK_END_RETRY_AFTER_S
--- a/src/hollowrack/routing/circuit_breaker.py
+++ b/src/hollowrack/routing/circuit_breaker.py
@@ -18,8 +18,8 @@
 class CircuitBreaker:
     """Circuit breaker with exponential backoff.
 
-    Opens after consecutive failures. After the backoff one trial request may be sent, whose outcome
-    closes the circuit or opens it again.
+    Opens after ``FAILURE_THRESHOLD`` consecutive failures, or after one conclusive failure. After
+    the backoff one trial request may be sent, whose outcome closes the circuit or opens it again.
     """
 
     def __init__(self) -> None:
@@ -49,8 +49,8 @@
         """Record a failed request.
 
         Args:
-            now_s: Current time, in seconds.
-            is_conclusive: Whether the failure opens the circuit at once (no connection).
+            now_s: Current time, in seconds on the monotonic clock.
+            is_conclusive: Whether it opens the circuit at once, as a failure to connect does.
         """
         self._num_failures += 1
         is_trial = self.status is CircuitStatus.HALF_OPEN
--- a/src/hollowrack/routing/fleet.py
+++ b/src/hollowrack/routing/fleet.py
@@ -1,4 +1,4 @@
-"""This node's view of all back ends: machine list, load reports and outcomes of its requests."""
+"""Fleet view: a node's state of all back ends, from the machine list, reports and outcomes."""
 
 from collections import deque
 from collections.abc import Callable
@@ -47,14 +47,14 @@
     Attributes:
         machine: Its entry in the machine list.
         is_leaving: Whether it is marked as leaving; a stale machine list does not reset it.
-        engine: Last control state of an engine; None if unknown, and for services.
+        engine: Last control state of an engine; ``None`` if unknown, and for services.
         reported_load: Running and waiting requests in the last report.
         num_live: Live requests in progress that this node placed.
         num_training: Training generations in progress that this node placed.
         other_nodes_live: Live requests of other nodes, by each of the last reports.
         other_nodes_load: All requests of other nodes, by each of the last reports.
         circuit: Circuit breaker, driven by the outcomes of this node's requests.
-        cached_back_end: Cached routing snapshot of the record; None after a change. A placement
+        cached_back_end: Cached routing snapshot of the record; ``None`` after a change. A placement
             reads all back ends and changes one.
     """
 
--- a/src/hollowrack/routing/observer.py
+++ b/src/hollowrack/routing/observer.py
@@ -38,7 +38,7 @@
         self._fleet = fleet
         self._read_machines = read_machines
         self._make_client = make_client
-        self._is_close = polls_every_round
+        self._polls_every_round = polls_every_round
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
@@ -83,7 +83,7 @@
         return (
             is_new
             or round_number % OTHER_ENGINES_POLL_ROUNDS == 0
-            or self._is_close(record.machine)
+            or self._polls_every_round(record.machine)
         )
 
     async def _poll_engine(self, address: str) -> None:
