--- a/src/hollowrack/membership/datagrams.py
+++ b/src/hollowrack/membership/datagrams.py
@@ -16,7 +16,7 @@
 MAX_DATAGRAM_BYTES = 1400
 _TAG_BYTES = 16
 _SESSION_ID_BYTES = 8
-_REPLAY_WINDOW = 256
+_REPLAY_WINDOW_SIZE = 256
 _NUM_PAYLOAD_FIELDS = 4
 
 
@@ -29,12 +29,12 @@
 
     def accept(self, number: int) -> bool:
         """Record a sequence number; returns whether it is new and within the window."""
-        if number <= self.highest - _REPLAY_WINDOW or number in self.seen:
+        if number <= self.highest - _REPLAY_WINDOW_SIZE or number in self.seen:
             return False
         self.seen.add(number)
         if number > self.highest:
             self.highest = number
-            lowest = number - _REPLAY_WINDOW
+            lowest = number - _REPLAY_WINDOW_SIZE
             self.seen = {known for known in self.seen if known > lowest}
         return True
 
@@ -97,7 +97,10 @@
         if not isinstance(number, int) or not isinstance(body, bytes):
             return _rejected(ResultCode.MESSAGE_INVALID, "number or body is malformed")
         if not self._windows.setdefault((sender, session_id), _SenderWindow()).accept(number):
-            return _rejected(ResultCode.MESSAGE_INVALID, "replayed")
+            return _rejected(
+                ResultCode.MESSAGE_INVALID,
+                "sequence number was replayed or is below the replay window",
+            )
         return codec.decode(body).bind(lambda message: _as_gossip(sender, message))
 
 
--- a/src/hollowrack/membership/service.py
+++ b/src/hollowrack/membership/service.py
@@ -30,6 +30,10 @@
         seeds: Initial members.
         network: Open network of the node.
         seed: Seed of the random source; ``None`` for a random one.
+
+    Attributes:
+        on_change: Listeners that are called with each status change of a member.
+        on_fact: Listeners that are called with each raised fact.
     """
 
     def __init__(
--- a/src/hollowrack/replication/client.py
+++ b/src/hollowrack/replication/client.py
@@ -40,7 +40,7 @@
 
 
 class GroupClient:
-    """Client of all groups on one node.
+    """Finds and creates groups, and calls their leaders, on behalf of one node.
 
     It caches the membership of each group and the node that last led it.
 
@@ -77,7 +77,7 @@
             return known
         members = choose_members(group, self._placement_of(group), self._links)
         if not members:
-            detail = "no live node is known to hold a replica of the group"
+            detail = "no live node is available for a replica of the group"
             return Failure(Problem(ResultCode.NO_QUORUM, detail, group))
         created = await self._directory.create(group, members)
         if isinstance(created, Success):
@@ -161,7 +161,9 @@
         current = stored.value_or(None)
         members = choose_members(group, self._placement_of(group), self._links)
         if current is None or not members:
-            detail = "the group has no stored membership, or no live node is known"
+            detail = (
+                "the group has no stored membership, or no live node is available for a replica"
+            )
             return Failure(Problem(ResultCode.NO_QUORUM, detail, group))
         changed = await self._directory.change(group, current, members)
         if isinstance(changed, Failure):
@@ -180,29 +182,31 @@
         """Commit a command through the group's leader.
 
         Commands must be idempotent: after a lost answer the command is proposed again. Fails with
-        ``NO_QUORUM`` if certainly no leader received it, otherwise with ``OUTCOME_UNKNOWN``.
+        ``GROUP_UNKNOWN``, with ``NO_QUORUM`` if no leader executed it before the timeout, or with
+        ``OUTCOME_UNKNOWN`` if one may have.
         """
 
-        async def ask(node: str) -> Result[bytes, Problem]:
+        async def propose_at(node: str) -> Result[bytes, Problem]:
             if node == self._host.node:
                 return await self._host.propose(group, command)
             request = ProposeRequest(group, command)
             answer = await self._links.request(node, request, FORWARD_TIMEOUT_S)
             return answer.bind(_outcome_of)
 
-        return await self.call_leader(group, ask, timeout_s)
+        return await self.call_leader(group, propose_at, timeout_s)
 
     async def call_leader(
         self,
         group: str,
-        ask: Callable[[str], Awaitable[Result[Answer, Problem]]],
+        call_node: Callable[[str], Awaitable[Result[Answer, Problem]]],
         timeout_s: float,
     ) -> Result[Answer, Problem]:
         """Call the group's leader; tries members and follows their hints until it is found.
 
         Args:
             group: Name of the group.
-            ask: Calls one node; on ``NOT_LEADER`` and similar results another member is tried.
+            call_node: Calls one node; after results such as ``NOT_LEADER``, ``PEER_UNREACHABLE`` or
+                ``OUTCOME_UNKNOWN`` another member is called.
             timeout_s: Time until the last attempt may start, in seconds.
         """
         deadline_s = now_s() + timeout_s
@@ -213,7 +217,7 @@
             if isinstance(found, Failure):
                 return found
             for node in self._ordered_nodes(group, found.unwrap()):
-                result = await ask(node)
+                result = await call_node(node)
                 if isinstance(result, Success):
                     self._leader_hints[group] = node
                     return result
@@ -230,13 +234,13 @@
             await asyncio.sleep(RETRY_INTERVAL_S)
             await self._refresh(group, found.unwrap())
 
-    def _update_leader_hint(self, group: str, asked: str, problem: Problem) -> bool:
+    def _update_leader_hint(self, group: str, called: str, problem: Problem) -> bool:
         """Update the leader hint from a failed call; returns whether another node was named."""
         hinted = problem.detail if problem.code is ResultCode.NOT_LEADER else ""
-        if hinted and hinted != asked:
+        if hinted and hinted != called:
             self._leader_hints[group] = hinted
             return True
-        if self._leader_hints.get(group) == asked:
+        if self._leader_hints.get(group) == called:
             del self._leader_hints[group]
         return False
 
--- a/src/hollowrack/replication/host.py
+++ b/src/hollowrack/replication/host.py
@@ -145,7 +145,7 @@
         self._run_action(envelope.group, hosted, receive)
 
     def leads(self, group: str) -> bool:
-        """Whether this node's replica believes to be the group's leader."""
+        """Whether this node's replica is the group's leader, as far as it knows."""
         hosted = self.groups.get(group)
         return hosted is not None and hosted.replica.role is Role.LEADER
 
--- a/src/hollowrack/replication/journal.py
+++ b/src/hollowrack/replication/journal.py
@@ -196,6 +196,9 @@
     Args:
         folder: Folder of the files; created if it does not exist.
 
+    Attributes:
+        loaded: Journals found in the folder at the start, by group.
+
     Raises:
         OSError: If the folder cannot be written.
     """
@@ -215,7 +218,7 @@
         """Open a group's journal for appending; creates it and its manifest entry if necessary.
 
         Raises:
-            ProblemError: ``DISK_FULL`` if the manifest cannot be written.
+            ProblemError: ``DISK_FULL`` if the journal or the manifest cannot be written.
         """
         content = self.loaded.get(group)
         if content is not None:
@@ -271,7 +274,9 @@
         incarnation = uuid.uuid4().hex
         files = [path for path in self._folder.iterdir() if path.is_file()]
         if files:
-            logging.error("journals moved aside, starting with a new incarnation: %s", reason)
+            logging.error(
+                "journals moved to a subfolder, node starts with a new incarnation: %s", reason
+            )
             backup = self._folder / f"lost-{incarnation}"
             backup.mkdir()
             for path in files:
--- a/src/hollowrack/replication/messages.py
+++ b/src/hollowrack/replication/messages.py
@@ -94,7 +94,10 @@
 @message("replication.append")
 @dataclass(frozen=True)
 class Append:
-    """New entries after ``after_index``; a heartbeat if there are none."""
+    """New entries after ``after_index``; a heartbeat if there are none.
+
+    ``is_active`` tells whether the leader's epoch has been activated.
+    """
 
     ballot: Ballot
     after_index: int
--- a/src/hollowrack_bench/__init__.py
+++ b/src/hollowrack_bench/__init__.py
@@ -1,1 +1,1 @@
-"""Demonstration, load and experiments; joins the product and the stand-ins."""
+"""Demos, benchmarks and soak tests, which run the product against the stand-ins."""
--- a/src/hollowrack_bench/loopback_proxy.py
+++ b/src/hollowrack_bench/loopback_proxy.py
@@ -54,7 +54,8 @@
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.Task[None]] = set()
         self._num_accepted = 0
-        self._num_silenced = 0
+        # Connections accepted up to this number forward no further bytes.
+        self._last_silenced_number = 0
 
     async def start(self) -> str:
         """Start listening on a free port; returns the address."""
@@ -68,7 +69,7 @@
         if self._server is not None:
             self._server.close()
         await cancel_all(*self._connections)
-        # Aborted transports are closed by the loop's next turn.
+        # Aborted transports are closed in the next iteration of the event loop.
         await asyncio.sleep(0)
 
     def set_fault(self, fault: LinkFault) -> None:
@@ -80,7 +81,7 @@
 
     def blackhole_open_connections(self) -> None:
         """Discard all further bytes of the connections open now; new connections work."""
-        self._num_silenced = self._num_accepted
+        self._last_silenced_number = self._num_accepted
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
@@ -132,14 +133,14 @@
         """
         while chunk := await reader.read(CHUNK_BYTES):
             is_silenced = is_silenced or self._discards(is_request)
-            is_silenced = is_silenced or number <= self._num_silenced
+            is_silenced = is_silenced or number <= self._last_silenced_number
             if is_silenced:
                 continue
             if self.fault is LinkFault.DELAYED:
                 await asyncio.sleep(self._rng.uniform(0.0, MAX_DELAY_S))
             writer.write(chunk)
             await writer.drain()
-            if self.fault is LinkFault.REPEATED and not is_request and _is_whole_answer(chunk):
+            if self.fault is LinkFault.REPEATED and not is_request and _is_complete_answer(chunk):
                 await asyncio.sleep(self._rng.uniform(0.0, MAX_REPEAT_DELAY_S))
                 writer.write(chunk)
         with contextlib.suppress(OSError, RuntimeError):
@@ -158,7 +159,7 @@
     writer.transport.abort()
 
 
-def _is_whole_answer(chunk: bytes) -> bool:
+def _is_complete_answer(chunk: bytes) -> bool:
     """Whether the chunk is exactly one HTTP answer with a ``Content-Length``."""
     head, found, body = chunk.partition(_HEAD_END)
     if not found or not head.startswith(_ANSWER_BEGIN):
--- a/src/hollowrack_bench/platform_demo.py
+++ b/src/hollowrack_bench/platform_demo.py
@@ -34,7 +34,7 @@
 NUM_EVENTS = 40
 START_TIMEOUT_S = 40.0
 STEP_TIMEOUT_S = 40.0
-# Items that have waited this long may be abandoned.
+# Items that have waited this long may be given up.
 QUEUE_TTL_S = 40
 RETRY_INTERVAL_S = 0.2
 CALL_TIMEOUT_S = 9.0
--- a/src/hollowrack_bench/replication_model.py
+++ b/src/hollowrack_bench/replication_model.py
@@ -373,6 +373,7 @@
 
 Action = Callable[[ReplicationModel, random.Random], None]
 
+# Indexes are reduced modulo the number of nodes or messages.
 _NUM_INDEXES = 1_000_000
 
 
--- a/src/hollowrack_bench/requests_bench.py
+++ b/src/hollowrack_bench/requests_bench.py
@@ -119,6 +119,7 @@
     engine = config.engine
     token_s = engine.step_s + (engine.num_slots - 1) * engine.step_per_sequence_s
     rng = random.Random(0)
+    # 3.689 is the logarithm of the engines' median of 40 tokens.
     drawn = [min(MAX_TOKENS, rng.lognormvariate(3.689, engine.length_sigma)) for _ in range(4000)]
     mean_tokens = sum(drawn) / len(drawn)
     return config.num_engines * engine.num_slots / (token_s * mean_tokens)
--- a/src/hollowrack_bench/simulation/platform.py
+++ b/src/hollowrack_bench/simulation/platform.py
@@ -60,7 +60,7 @@
         self.num_calls += 1
         await asyncio.sleep(STORE_LATENCY_S + self.faults.delay_s)
         if self.faults.is_down:
-            return Failure(Problem(ResultCode.PLATFORM_UNAVAILABLE, "down", method))
+            return Failure(Problem(ResultCode.PLATFORM_UNAVAILABLE, "the store is down", method))
         operation = {
             "kv/range": self.core.range,
             "kv/put": self.core.put,
@@ -70,7 +70,7 @@
         answer = operation(body)
         is_write = method != "kv/range"
         if is_write and self._rng.random() < self.faults.lost_answer_share:
-            return Failure(Problem(ResultCode.PLATFORM_UNAVAILABLE, "answer lost", method))
+            return Failure(Problem(ResultCode.PLATFORM_UNAVAILABLE, "the answer was lost", method))
         return Success(answer)
 
 
@@ -281,7 +281,7 @@
         """Read the engine's control state."""
         engine = await self._reach_after_latency()
         if engine is None:
-            return Failure(Problem(ResultCode.PLATFORM_UNAVAILABLE, "unreachable"))
+            return Failure(Problem(ResultCode.PLATFORM_UNAVAILABLE, "the engine is unreachable"))
         core = engine.core
         return Success(
             EngineState(
@@ -298,14 +298,14 @@
         """Read the engine's load report."""
         engine = self._reachable_engine()
         if engine is None:
-            return Failure(Problem(ResultCode.PLATFORM_UNAVAILABLE, "unreachable"))
+            return Failure(Problem(ResultCode.PLATFORM_UNAVAILABLE, "the engine is unreachable"))
         return Success(engine.lagged_load())
 
     async def read_cache_events(self, first_sequence: int) -> Result[CacheEvents, Problem]:
         """Read the cache events from a sequence number on."""
         engine = self._reachable_engine()
         if engine is None:
-            return Failure(Problem(ResultCode.PLATFORM_UNAVAILABLE, "unreachable"))
+            return Failure(Problem(ResultCode.PLATFORM_UNAVAILABLE, "the engine is unreachable"))
         events = engine.core.events_from(first_sequence)
         first = events[0].sequence if events else first_sequence
         end = events[-1].sequence + 1 if events else first
@@ -325,7 +325,7 @@
         """Order the engine to switch to a weight version."""
         engine = await self._reach_after_latency()
         if engine is None:
-            return Failure(Problem(ResultCode.PLATFORM_UNAVAILABLE, "unreachable"))
+            return Failure(Problem(ResultCode.PLATFORM_UNAVAILABLE, "the engine is unreachable"))
         core = engine.core
         if core.incarnation != incarnation or not core.begin_swap(fencing_token):
             return Failure(
--- a/src/hollowrack_bench/soak_crashes.py
+++ b/src/hollowrack_bench/soak_crashes.py
@@ -29,6 +29,7 @@
 # Time within which connected nodes know of a crash.
 PROPAGATION_TIME_S = 3.0
 QUARANTINE_CRASH_THRESHOLD = 3
+# Allowed late runs of one request, see :func:`late_runs`.
 MAX_LATE_RUNS = 3
 
 # Sends a request, given the node, the request identifier and the body.
--- a/src/hollowrack_bench/soak_plan.py
+++ b/src/hollowrack_bench/soak_plan.py
@@ -10,7 +10,7 @@
 from hollowrack_bench.soak_faults import SoakFault
 
 NUM_EDGES = 4
-# At some 60 MB each, they use less than half the memory of a machine of 24 GB.
+# Each process uses about 60 MB of memory.
 MAX_EDGES = 120
 
 
