--- a/src/hollowrack/membership/swim.py
+++ b/src/hollowrack/membership/swim.py
@@ -227,8 +227,9 @@
             for member in self.members.values()
             if member.is_running and member.node != self.own.node
         )
-        is_alone = not any(self.members[node].incarnation for node in others)
-        interval_s = FIRST_EXCHANGE_INTERVAL_S if is_alone else EXCHANGE_INTERVAL_S
+        # Seeds have no incarnation until their own entry has been merged.
+        knows_only_seeds = not any(self.members[node].incarnation for node in others)
+        interval_s = FIRST_EXCHANGE_INTERVAL_S if knows_only_seeds else EXCHANGE_INTERVAL_S
         self._next_exchange_s = self._now_s + interval_s * self._rng.uniform(0.5, 1.5)
         if others:
             self.exchange_peers.append(self._rng.choice(others))
--- a/src/hollowrack_bench/capacity_page.py
+++ b/src/hollowrack_bench/capacity_page.py
@@ -19,7 +19,7 @@
 CPU_LIMIT = 0.04
 BYTES_LIMIT = 2000.0
 MEMORY_LIMIT = 64_000_000.0
-_PLACEMENT_BYTES = 400.0
+_PLACEMENT_MESSAGE_BYTES = 400.0
 _MB = 1_000_000.0
 
 
@@ -76,6 +76,7 @@
     unsafe = REQUESTS_PER_S * UNSAFE_SHARE / CLAIM_GROUPS
     claim_cpu = unsafe * _slope(slopes, "claims_cpu_per_request")
     claim_memory = KEPT_CLAIMS * _slope(slopes, "memory_per_claim")
+    # Samples per second of one of the three trainers.
     samples = SAMPLES_PER_STEP / STEP_S / 3
     ledger_cpu = samples * _slope(slopes, "ledger_cpu_per_sample")
     ledger_memory = 512 * STEPS_HELD * _slope(slopes, "memory_per_slot")
@@ -96,7 +97,7 @@
             "placement broker (one a zone and pool)",
             f"{NUM_ENGINES // NUM_ZONES} engines, placements in progress",
             f"{placements:.0f} placements a second, "
-            f"{2 * placements * _PLACEMENT_BYTES / 1000:.0f} KB/s with their ends",
+            f"{2 * placements * _PLACEMENT_MESSAGE_BYTES / 1000:.0f} KB/s with their ends",
             f"{placement_cpu:.0%} of a core",
             "under 1 MB",
             "`routing/broker.py`, rendezvous hash; local choice as fallback",
--- a/src/hollowrack_bench/loopback_proxy.py
+++ b/src/hollowrack_bench/loopback_proxy.py
@@ -102,13 +102,13 @@
             return
         self._num_accepted += 1
         number = self._num_accepted
-        is_lost = self.fault is LinkFault.LOSSY and self._rng.random() < LOSS_PROBABILITY
+        is_silenced = self.fault is LinkFault.LOSSY and self._rng.random() < LOSS_PROBABILITY
         host, _, port = self._target.rpartition(":")
         server_reader, server_writer = await asyncio.open_connection(host, int(port))
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._forward(reader, server_writer, True, is_lost, number))
-                group.create_task(self._forward(server_reader, writer, False, is_lost, number))
+                group.create_task(self._forward(reader, server_writer, True, is_silenced, number))
+                group.create_task(self._forward(server_reader, writer, False, is_silenced, number))
         except* OSError:
             _reset(writer)
         finally:
