--- a/src/hollowrack/coordination/anti_entropy.py
+++ b/src/hollowrack/coordination/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy for store mirrors: fetches changes from other nodes while the own watch hangs.
+"""Anti-entropy for store mirrors: fetches changes from other nodes while a node's watch hangs.
 
 A watch on a dead connection blocks until its timeout, and a backoff follows each failure. Meanwhile
 other nodes may have received changes, so a node whose watch has not answered for a short time
@@ -124,7 +124,7 @@
             mirror.apply_changes(Changes(answer.items(), answer.revision))
         if mirror.reached_revision != before and answer.changes:
             logging.info(
-                "changes of %s from the node %s: revision %d after %d, of %.2f s ago",
+                "changes of %s from node %s: revision %d after %d, age %.2f s",
                 prefix,
                 address,
                 mirror.reached_revision,
--- a/src/hollowrack/coordination/leadership.py
+++ b/src/hollowrack/coordination/leadership.py
@@ -1,9 +1,8 @@
 """Leader election: the leader is the node that created the leader key under its own session.
 
 The revision at which the key was created is the leader's fencing token. A leader acts only while
-its session is valid by its own monotonic clock, and a new leader waits for a handover time before
-it acts, so that the orders of two leaders do not overlap even where receivers do not check fencing
-tokens.
+its session is valid by the loop's clock, and a new leader waits for a handover time before it acts,
+so that the orders of two leaders do not overlap even where receivers do not check fencing tokens.
 
 If an earlier incarnation of the same node holds the key, the node takes it over at once: a node
 runs one process at a time, so the earlier one has ended. A second key without a lease names the
@@ -42,13 +41,14 @@
 # the handover.
 STARTUP_WINDOW_S = 3.0
 STARTUP_CAMPAIGN_DELAY_S = 0.8
+# Added in full from a process age of OLD_AGE_S on, proportionally less before.
 MAX_AGE_CAMPAIGN_DELAY_S = 0.45
 OLD_AGE_S = 20.0
 LAST_SUFFIX = "-last"
 
 
 class Leadership:
-    """Campaigns for the leader key and tells whether this node may act as leader.
+    """Campaigns for the leader key and determines whether this node may act as leader.
 
     Args:
         store: Holds the leader key.
@@ -79,6 +79,7 @@
         self._session = session
         self._owner = owner
         self._last_leader: StoredItem | None = None
+        # Revision that the leader key must have when this node campaigns.
         self._free_revision = ABSENT_REVISION
         self._wait_s = handover_s
         self._handover_s = handover_s
@@ -125,7 +126,7 @@
         token = self.fencing_token
         await self.stop()
         if token is not None:
-            # Without the last-leader key the next leader does not have to yield to this node.
+            # Without the last-leader key no other node delays its campaign in favour of this one.
             removes = [self.key, self.last_key]
             await self._store.transact([Condition(self.key, token)], [], removes)
 
@@ -226,7 +227,9 @@
         self.fencing_token = revision
         self._may_act_from_s = acts_from_s
         wait_s = max(0.0, acts_from_s - now_s())
-        logging.info("leader from now on, fencing token %d, orders after %.2f s", revision, wait_s)
+        logging.info(
+            "elected leader, fencing token %d, may send orders in %.2f s", revision, wait_s
+        )
 
 
 def _revision_of(item: StoredItem | None) -> int:
--- a/src/hollowrack/coordination/machine_retirement.py
+++ b/src/hollowrack/coordination/machine_retirement.py
@@ -15,7 +15,8 @@
 class MachineRetirement:
     """Confirms requested retirements while this node leads.
 
-    Nodes keep no durable state on disk, so a machine counts as empty as soon as it is requested.
+    Nodes keep no durable state on disk, so a machine counts as empty as soon as its retirement is
+    requested.
 
     Args:
         leadership: Whether this node leads.
@@ -49,5 +50,5 @@
                 continue
             for machine in sorted(self._requested - completed):
                 if await self._complete(machine):
-                    logging.info("machine %s is empty", machine)
+                    logging.info("machine %s: retirement confirmed", machine)
                     completed.add(machine)
--- a/src/hollowrack/coordination/session.py
+++ b/src/hollowrack/coordination/session.py
@@ -1,6 +1,6 @@
 """A node's session in the coordination store: a lease that is renewed while the process runs.
 
-Validity is measured on the monotonic clock from before the renewal was sent, so the session expires
+Validity is measured on the loop's clock from before the renewal was sent, so the session expires
 locally before it expires at the store. Safety must not depend on the local view alone.
 """
 
@@ -111,8 +111,8 @@
         granted = await self._store.grant_lease(SESSION_TTL_S)
         if isinstance(granted, GrantedLease):
             self._backoff.reset()
-            self._set(granted.lease, sent_s + granted.ttl_s)
-            logging.info("session lease %d", granted.lease)
+            self._set_lease(granted.lease, sent_s + granted.ttl_s)
+            logging.info("session lease %d granted", granted.lease)
         else:
             await asyncio.sleep(self._backoff.next_delay_s())
 
@@ -122,10 +122,10 @@
         if isinstance(renewed, GrantedLease):
             self.valid_until_s = sent_s + renewed.ttl_s
         elif isinstance(renewed, LeaseGone):
-            logging.warning("session lease %d is over", lease)
-            self._set(None, -float("inf"))
+            logging.warning("session lease %d has ended", lease)
+            self._set_lease(None, -float("inf"))
 
-    def _set(self, lease: int | None, valid_until_s: float) -> None:
+    def _set_lease(self, lease: int | None, valid_until_s: float) -> None:
         self.lease = lease
         self.valid_until_s = valid_until_s
         self.changed.set()
--- a/src/hollowrack/edge_node.py
+++ b/src/hollowrack/edge_node.py
@@ -60,7 +60,7 @@
 # Time for callers to switch to other nodes at a planned stop.
 MAX_REFUSE_NEW_S = 3.5
 REFUSE_NEW_FRACTION = 0.45
-# Longer, as the output of unfinished items is lost.
+# Longer than for callers, as the output of items unfinished at the deadline is lost.
 MAX_DRAIN_S = 10.0
 DRAIN_FRACTION = 0.65
 MAX_HANDOVER_S = 0.6
@@ -167,7 +167,7 @@
             has_sentinel=True,
         )
         num_hosts = num_hosts_per_zone(connections.max_change_delay_s)
-        # Where only some nodes hold sessions, these must be known first, as they are the sources.
+        # Where only some nodes have sessions, other nodes watch those, so they must be known first.
         self.may_watch_feed = asyncio.Event() if num_hosts is None else self._live_mirror.is_loaded
         if num_hosts is None:
             self.may_watch_feed.set()
@@ -227,7 +227,7 @@
         self._rng = rng
         self._retirement = MachineRetirement(self.leadership, connections.complete_retirement)
         self._drain_deadline_s = 0.0
-        self._hand_over_s = 0.0
+        self._handover_timeout_s = 0.0
         self._tasks: list[asyncio.Task[None]] = []
 
     # -- lifecycle --------------------------------------------------------------------------
@@ -268,14 +268,14 @@
     async def begin_stop(self, grace_s: float) -> None:
         """Begin a planned stop: report not ready, resign, and wait for callers to switch nodes.
 
-        Owned jobs go on; :meth:`finish` drains them.
+        Owned jobs go on; :meth:`complete_stop` drains them.
 
         Args:
             grace_s: Time until the process is killed, in seconds; less than half of it is used.
         """
         self.is_stopping = True
         started_s = now_s()
-        logging.info("stopping: %d jobs here", self.jobs.num_running)
+        logging.info("stopping: %d jobs running", self.jobs.num_running)
         self.jobs.stop_accepting()
         self._num_cores = NO_CORES
         await self._host_role.stop()
@@ -286,14 +286,14 @@
         await self._retirement.stop()
         await self.leadership.resign()
         await self._announce_stop()
-        turn_away_s = min(MAX_REFUSE_NEW_S, REFUSE_NEW_FRACTION * grace_s)
-        await asyncio.sleep(max(0.0, started_s + turn_away_s - now_s()))
+        refuse_new_s = min(MAX_REFUSE_NEW_S, REFUSE_NEW_FRACTION * grace_s)
+        await asyncio.sleep(max(0.0, started_s + refuse_new_s - now_s()))
         self._drain_deadline_s = started_s + min(MAX_DRAIN_S, DRAIN_FRACTION * grace_s)
-        self._hand_over_s = min(MAX_HANDOVER_S, HANDOVER_FRACTION * grace_s)
+        self._handover_timeout_s = min(MAX_HANDOVER_S, HANDOVER_FRACTION * grace_s)
 
     async def complete_stop(self) -> None:
         """Complete a planned stop: drain owned jobs until their deadline, then release them."""
-        await self.jobs.drain(self._drain_deadline_s - now_s(), self._hand_over_s)
+        await self.jobs.drain(self._drain_deadline_s - now_s(), self._handover_timeout_s)
         await self._leader_duties.stop()
         await self._suspects.stop()
         await self.slots.stop()
@@ -301,7 +301,7 @@
         await self._live_mirror.stop()
         # If the call fails, the lease expires.
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self._hand_over_s):
+            async with asyncio.timeout(self._handover_timeout_s):
                 await self.session.stop()
 
     async def abandon(self) -> None:
--- a/src/hollowrack/observability/log_search.py
+++ b/src/hollowrack/observability/log_search.py
@@ -14,7 +14,7 @@
 _WORKER = re.compile(r"\bworker (\S+?)[:,; ]")
 # Events of a whole node that can affect a request or item in progress.
 _CONTEXT = re.compile(
-    r"coordination store |leader from now on|session lease \d+ is over|^stopping|^stopped"
+    r"coordination store |elected leader|session lease \d+ has ended|^stopping|^stopped"
     r"|^edge node \S+ started|configuration \d+ in force|^changes of \S+ from"
     r"|log lines were dropped"
 )
