--- a/src/hollowrack/coordination/mirror.py
+++ b/src/hollowrack/coordination/mirror.py
@@ -37,7 +37,7 @@
 INITIAL_BACKOFF_S = 0.4
 # Well below the propagation limit of changes.
 MAX_BACKOFF_S = 1.2
-# The sentinel ends the backoff of such a mirror when the store answers again.
+# For mirrors with a sentinel, whose backoff ends early when the store answers again.
 MAX_BACKOFF_WITH_SENTINEL_S = 4.0
 LATE_ANSWER_S = 0.5
 MAX_HISTORY = 512
@@ -113,7 +113,7 @@
         await cancel_all(self._task)
 
     def changes_after(self, revision: int) -> list[KeyChange] | None:
-        """Return the changes after a store revision; ``None`` if they are no longer kept."""
+        """Return the changes after a store revision; ``None`` if its history is too short."""
         if revision < self._history_from:
             return None
         return [change for change in self._history if change.revision > revision]
@@ -145,13 +145,13 @@
             self._watch_task.cancel()
 
     def apply_changes(self, changes: Changes) -> None:
-        """Apply changes after the reached revision that were learned from another node."""
+        """Apply changes after the reached revision that were received from another node."""
         if self.is_loaded.is_set() and changes.revision > self.reached_revision:
             self._apply_newer(changes)
             self.restart_watch()
 
     def apply_listing(self, listing: Listing) -> None:
-        """Apply a listing that was learned from another node, if its revision is newer."""
+        """Apply a listing that was received from another node, if its revision is newer."""
         if not self.is_loaded.is_set() or listing.revision > self.reached_revision:
             self._replace_all(listing)
             self.restart_watch()
--- a/src/hollowrack/coordination/shared_store.py
+++ b/src/hollowrack/coordination/shared_store.py
@@ -93,7 +93,7 @@
         # Prefixes for which the store was asked since another node last answered.
         self._prefixes_asked: set[str] = set()
         self._retry_source_from_s: dict[str, float] = {}
-        self._reached: dict[str, int] = {}
+        self._reached_revisions: dict[str, int] = {}
         self._source: str | None = None
         self._store_answers = False
         self._next_probe_s = -float("inf")
@@ -123,7 +123,7 @@
         self, prefix: str, after_revision: int, wait_s: float
     ) -> Changes | HistoryGone | Unavailable:
         """Watch another node's mirror, or the store if no node answers."""
-        self._reach(prefix, after_revision)
+        self._record_revision(prefix, after_revision)
         request = WatchRequest(prefix, after_revision, wait_s, self._max_age_s())
         shared = await self._ask_sources(request)
         if shared is not None:
@@ -143,11 +143,11 @@
 
     async def list_prefix(self, prefix: str) -> Listing | Unavailable:
         """Read all keys below a prefix from another node, or from the store if none answers."""
-        reached = self._reached.get(prefix, 0)
+        reached = self._reached_revisions.get(prefix, 0)
         request = WatchRequest(prefix, reached, 0.0, self._max_age_s(), wants_listing=True)
         shared = await self._ask_sources(request)
         if shared is not None:
-            self._reach(prefix, shared.revision)
+            self._record_revision(prefix, shared.revision)
             return shared.listed()
         if self._must_probe() and not self._begin_probe():
             return NotDone("no source answered and the next probe is not due")
@@ -156,7 +156,7 @@
         self._record_store_state(isinstance(listing, Listing))
         if isinstance(listing, Listing):
             self.record_answer(prefix, sent_s)
-            self._reach(prefix, listing.revision)
+            self._record_revision(prefix, listing.revision)
         return listing
 
     async def _ask_sources(self, request: WatchRequest) -> SharedChanges | None:
@@ -222,8 +222,8 @@
             for listener in self.source_listeners:
                 listener()
 
-    def _reach(self, prefix: str, revision: int) -> None:
-        self._reached[prefix] = max(revision, self._reached.get(prefix, 0))
+    def _record_revision(self, prefix: str, revision: int) -> None:
+        self._reached_revisions[prefix] = max(revision, self._reached_revisions.get(prefix, 0))
 
     async def get(self, key: str) -> StoredItem | Unavailable | None:
         """Read one key from the store."""
--- a/src/hollowrack/coordination/watch_messages.py
+++ b/src/hollowrack/coordination/watch_messages.py
@@ -68,8 +68,8 @@
     Attributes:
         changes: The changes, oldest first; all keys for a listing.
         revision: Store revision up to which all changes are included.
-        is_history_gone: Whether the requested changes are no longer kept, so that the requesting
-            node has to list again.
+        is_history_gone: Whether the requested changes are no longer in the history, so that the
+            requesting node has to list again.
         is_stale: Whether the answering node's mirror is older than requested.
         age_s: Time since the store itself answered, in seconds.
         held_s: Time for which the request waited before this answer, in seconds.
--- a/src/hollowrack/edge_connections.py
+++ b/src/hollowrack/edge_connections.py
@@ -25,7 +25,7 @@
     """Clients and settings for usage reporting.
 
     Attributes:
-        window_s: Length of a window, in seconds.
+        window_s: Length of a reporting window, in seconds.
         peers: Pushes counts to other nodes.
         client: Delivers reports to the platform.
         time_of_day_s: Returns the machine's time of day, in seconds since 1970.
--- a/src/hollowrack/tenants/types.py
+++ b/src/hollowrack/tenants/types.py
@@ -1,6 +1,6 @@
 """Tenants and the digests of their keys, from one version of the configuration.
 
-Keys are secrets, so only digests keyed with a random secret of the process are kept. A leaked
+Keys are secrets, so only digests keyed with a random secret of the process are stored. A leaked
 digest is useless outside the process.
 """
 
--- a/src/hollowrack/usage/counts.py
+++ b/src/hollowrack/usage/counts.py
@@ -1,7 +1,7 @@
 """Request counts of all processes, as a grow-only counter that merges by maximum.
 
 Counts may arrive repeatedly, in any order and through any node without being counted twice. A count
-survives the process that made it as long as any live node holds it.
+is not lost with the process that made it, as long as any live node has received it.
 """
 
 from collections import Counter
@@ -55,8 +55,8 @@
         """Remove the counts of decided windows; later counts for them are ignored."""
         self._first_window = max(window, self._first_window)
         for process, windows in list(self._counts.items()):
-            kept = {number: counts for number, counts in windows.items() if number >= window}
-            if kept:
-                self._counts[process] = kept
+            undecided = {number: counts for number, counts in windows.items() if number >= window}
+            if undecided:
+                self._counts[process] = undecided
             else:
                 del self._counts[process]
--- a/src/hollowrack/usage/replicator.py
+++ b/src/hollowrack/usage/replicator.py
@@ -13,7 +13,7 @@
 from hollowrack.usage.meter import UsageMeter
 from hollowrack.usage.types import PushedCounts, UsagePeers
 
-# Counts of this time are sent in one message.
+# Counts made within this interval are sent in one message.
 BATCH_INTERVAL_S = 0.2
 # Longest time until a new leader is noticed.
 POLL_INTERVAL_S = 0.5
--- a/src/hollowrack/weights/plan.py
+++ b/src/hollowrack/weights/plan.py
@@ -12,11 +12,11 @@
 MIN_CONCURRENT_LOADS = 2
 # More concurrent loads than this share of the workers slow each other down.
 CONCURRENT_LOADS_FRACTION = 0.4
-# Loads of one load slot between two versions: a load takes 1 s, versions are 4 s apart.
+# Successive loads that fit between two versions: a load takes 1 s, versions are 4 s apart.
 LOADS_PER_SLOT = 4
 # Where models share workers, leaves capacity for repeating failed loads.
 SHARED_LOADS_FRACTION = 0.75
-# One additional unplanned holder of a model may stay per this many holders.
+# Per this many planned holders, a model stays on one additional current holder.
 INCUMBENTS_PER_SPARE = 6
 # A version serves two steps, so half of the workers may skip each version.
 NUM_STEPS_SERVED = 2
@@ -59,8 +59,8 @@
 
 def max_loads_per_version(num_workers: int) -> int:
     """Return how many loads fit between two versions, over all models."""
-    num_load_slots = max(MIN_CONCURRENT_LOADS, CONCURRENT_LOADS_FRACTION * num_workers)
-    return int(LOADS_PER_SLOT * num_load_slots)
+    num_concurrent = max(MIN_CONCURRENT_LOADS, CONCURRENT_LOADS_FRACTION * num_workers)
+    return int(LOADS_PER_SLOT * num_concurrent)
 
 
 def plan_loads(
@@ -138,16 +138,16 @@
     loading: Mapping[WorkerIncarnation, str],
     max_concurrent: int = MIN_CONCURRENT_LOADS,
 ) -> list[VersionMove]:
-    """Return the moves to start now.
+    """Return the loads to start now.
 
     A worker with the version before the announced one may still serve the step in progress, and it
-    refuses new runs while it loads. Such workers are moved only once the model is ready, at most
-    half of them at the same time. Workers that are further behind cannot serve: they are moved
+    refuses new runs while it loads. Such workers load only once the model is ready, at most
+    half of them at the same time. Workers that are further behind cannot serve: they load
     first and without delay.
 
     Args:
         target_versions: Newest announced version by model.
-        ready_models: Models whose workers with the previous version may be moved.
+        ready_models: Models whose workers with the previous version may load the newest one.
         plan: Assignment of models to workers.
         held_versions: Known loaded versions.
         loading: The model being loaded, by incarnation of the worker.
@@ -178,7 +178,7 @@
 
 
 def _outdated_workers(
-    named_versions: Mapping[str, int],
+    target_versions: Mapping[str, int],
     holders: Mapping[str, tuple[Worker, ...]],
     held_versions: HeldVersions,
 ) -> list[tuple[bool, str, Worker]]:
@@ -187,7 +187,7 @@
     Workers that cannot serve come first, then models with the fewest workers that can.
     """
     entries: list[tuple[tuple[bool, int, str, WorkerIncarnation], tuple[bool, str, Worker]]] = []
-    for model, version in named_versions.items():
+    for model, version in target_versions.items():
         versions = [
             held_versions.get((worker.incarnation, model), 0) for worker in holders.get(model, ())
         ]
--- a/src/hollowrack/weights/version_reconciler.py
+++ b/src/hollowrack/weights/version_reconciler.py
@@ -77,7 +77,7 @@
 
     Attributes:
         move: The worker and the version to load.
-        holder: Name of the node that sends the order.
+        holder: Name of the leader, which sends the order.
         fencing_token: The leader's fencing token; it increases with every change of leader.
         num_orders: Number of accepted orders that the worker must report for this one to apply.
     """
@@ -143,11 +143,11 @@
 
     async def _run(self) -> None:
         while True:
-            await self._pause()
+            await self._wait_for_next_poll()
             if self._leadership.may_act:
                 self._reconcile()
 
-    async def _pause(self) -> None:
+    async def _wait_for_next_poll(self) -> None:
         """Wait for the poll interval, or until a move has ended so that the next may start."""
         self._move_ended.clear()
         try:
@@ -199,7 +199,10 @@
         """Remove ended incarnations, so that their loads do not count as concurrent loads."""
         for incarnation in list(self._moves):
             if self._has_restarted(incarnation):
-                logging.info("worker %s: order cancelled because of a restart", incarnation)
+                logging.info(
+                    "worker %s: load abandoned, the worker has restarted",
+                    incarnation,
+                )
                 self._moves.pop(incarnation).cancel()
                 self._loading.pop(incarnation, None)
         for incarnation, model in list(self._confirmed):
@@ -211,7 +214,7 @@
         return known is not None and known.incarnation != incarnation
 
     def _confirm_entries(self) -> None:
-        """Update from the workers' entries; versions never decrease within one incarnation."""
+        """Confirm the versions of the workers' entries; they never decrease in one incarnation."""
         for worker in self._workers.all():
             self._confirm_all(worker, worker.model_versions)
 
--- a/tests/coordination/test_record.py
+++ b/tests/coordination/test_record.py
@@ -101,7 +101,7 @@
             first.record.update(None)
         else:
             assert not await first.record.replace(DecidedUsage(2))
-        # The value is kept although its key is gone.
+        # Removing the key does not reset the value.
         assert first.record.value == DecidedUsage(1)
         assert await first.record.replace(DecidedUsage(2))
         assert first.seen == [1, 2]
