--- a/src/hollowrack/clients/config_store.py
+++ b/src/hollowrack/clients/config_store.py
@@ -1,7 +1,7 @@
 """Client of the configuration store, over the etcd v3 JSON gateway.
 
-Creating a key is idempotent (one key per revision or epoch): a write whose answer was lost is sent
-again, and the second answer tells the outcome.
+Creating a key is idempotent (one key per revision or epoch): a write whose answer was lost is
+retried, and the answer to the retry states the outcome.
 """
 
 import asyncio
--- a/src/hollowrack/clients/engine.py
+++ b/src/hollowrack/clients/engine.py
@@ -79,7 +79,16 @@
 
 @dataclass(frozen=True)
 class EngineState:
-    """State of an engine, as reported by its control endpoint."""
+    """State of an engine, as reported by its control endpoint.
+
+    Attributes:
+        incarnation: Incarnation of the engine; changes when the engine restarts.
+        status: Status of the engine, for example ``serving`` or ``swapping``.
+        model: Name of the loaded model.
+        weight_version: Loaded weight version.
+        num_slots: Maximum number of requests in the engine's batch.
+        fencing_token: Highest fencing token that this incarnation has received.
+    """
 
     incarnation: str
     status: str
--- a/src/hollowrack/clients/http.py
+++ b/src/hollowrack/clients/http.py
@@ -41,7 +41,7 @@
         async with session.request(method, url, json=body, timeout=timeout) as response:
             if response.status == HTTPStatus.TOO_MANY_REQUESTS:
                 delay_s = retry_after_s(response.headers)
-                return Failure(Problem(ResultCode.PLATFORM_THROTTLED, "429", url, delay_s))
+                return Failure(Problem(ResultCode.PLATFORM_THROTTLED, "HTTP 429", url, delay_s))
             if response.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
                 detail = f"HTTP {response.status}"
                 return Failure(Problem(ResultCode.PLATFORM_UNAVAILABLE, detail, url))
--- a/src/hollowrack/clients/machine_list.py
+++ b/src/hollowrack/clients/machine_list.py
@@ -1,6 +1,6 @@
 """Client of the machine list, which is in the JSON format of Prometheus HTTP service discovery.
 
-The list is eventually consistent: it may name back ends that are gone and lack new ones.
+The list is eventually consistent: it may name back ends that no longer exist and lack new ones.
 """
 
 from collections.abc import Awaitable, Callable
@@ -35,8 +35,8 @@
         address: ``IP:PORT``.
         kind: ``engine`` or ``service``.
         pool: Name of the model (engine) or of the service pool (service).
-        zone: Zone that it runs in.
-        is_leaving: Whether it is marked as leaving, which means that it gets no new work.
+        zone: Name of the zone; empty if not stated.
+        is_leaving: Whether it is marked as leaving and must receive no new requests.
     """
 
     address: str
--- a/src/hollowrack/platform/configuration.py
+++ b/src/hollowrack/platform/configuration.py
@@ -33,13 +33,13 @@
 LOWEST_PRIORITY = 9
 # Version that workers hold before a trainer announces one.
 MIN_TARGET_VERSION = 1
-# Bounds on text from other writers in one log line, in characters.
+# Limits on text from entries of other programs in one log line, in characters.
 MAX_LOGGED_DETAIL_LENGTH = 300
 MAX_LOGGED_PLACE_LENGTH = 200
 
 Value = TypeVar("Value")
 
-_KINDS = {
+_ROUTE_KINDS = {
     "safe": RouteKind.SAFE,
     "unsafe": RouteKind.UNSAFE,
     "streaming": RouteKind.STREAM,
@@ -65,7 +65,7 @@
 
 def decode_target_version(key: str, value: bytes) -> Result[tuple[str, int], Problem]:
     """Decode a trainer's announcement into model and version or fail with ``ENTRY_UNREADABLE``."""
-    return _decode(value, key, _named_version, ResultCode.ENTRY_UNREADABLE)
+    return _decode(value, key, _target_version, ResultCode.ENTRY_UNREADABLE)
 
 
 def check_retirement(key: str, value: bytes) -> Result[None, Problem]:
@@ -78,25 +78,25 @@
     return {str(entry["name"]): int(entry["version"]) for entry in entries or ()}
 
 
-def started_ms(account: dict[str, Any]) -> int:
+def started_ms(report: dict[str, Any]) -> int:
     """Return the start time of a worker's incarnation, in milliseconds since the Unix epoch.
 
     Args:
-        account: The worker's report, decoded; without a start time the result is 0.
+        report: Decoded report of the worker; the result is 0 if it has no start time.
 
     Raises:
         TypeError: If the start time is not an integer.
     """
-    started = account.get(names.STARTED_MS, 0)
+    started = report.get(names.STARTED_MS, 0)
     if type(started) is not int:
         raise TypeError(f"{names.STARTED_MS} must be an integer, got {started!r}")
     return started
 
 
-def retirement_status(node: str) -> tuple[str, bytes]:
+def retirement_status(machine: str) -> tuple[str, bytes]:
     """Return the key and value that report a machine as retired."""
     value = json.dumps({"state": names.RETIREMENT_COMPLETE}).encode()
-    return names.RETIREMENT_STATUS_PREFIX + node, value
+    return names.RETIREMENT_STATUS_PREFIX + machine, value
 
 
 def _decode(
@@ -113,7 +113,7 @@
 
 
 def _truncated(text: str, max_length: int) -> str:
-    """Return text of another writer as ASCII, escaped and truncated for a log line."""
+    """Return text from another program escaped to ASCII and truncated for a log line."""
     shown = ascii(text)[1:-1]
     return shown if len(shown) <= max_length else f"{shown[:max_length]}..."
 
@@ -143,11 +143,11 @@
     return Tenant(
         name,
         frozenset(digest_key(key) for key in keys),
-        None if priority is None else _rank(priority),
+        None if priority is None else _clamped_priority(priority),
     )
 
 
-def _rank(priority: Any) -> int:
+def _clamped_priority(priority: Any) -> int:
     return min(LOWEST_PRIORITY, max(0, int(priority)))
 
 
@@ -186,12 +186,12 @@
         name=str(entry.get("name", "")),
         host=str(entry["hostname"]).lower(),
         prefix=str(entry["path-prefix"]),
-        kind=_KINDS.get(entry.get("route-type", ""), RouteKind.UNSAFE),
+        kind=_ROUTE_KINDS.get(entry.get("route-type", ""), RouteKind.UNSAFE),
         targets=_targets(entry),
         max_attempts=max(1, int(entry.get("max-attempts") or 1)),
         timeout_s=timeout_ms / MS_PER_S if timeout_ms else None,
         target_latency_s=(entry.get("target-latency-ms") or DEFAULT_TARGET_LATENCY_MS) / MS_PER_S,
-        priority=_rank(entry.get("priority") or 0),
+        priority=_clamped_priority(entry.get("priority") or 0),
         is_resumable=bool(entry.get("resumable")),
         queue_ttl_s=float(queue_ttl_s) if queue_ttl_s else None,
         result_deadline_s=result_deadline_ms / MS_PER_S if result_deadline_ms else None,
@@ -230,7 +230,7 @@
     )
 
 
-def _named_version(entry: dict[str, Any]) -> tuple[str, int]:
+def _target_version(entry: dict[str, Any]) -> tuple[str, int]:
     model, version = entry["model"], entry["version"]
     if not isinstance(model, str) or type(version) is not int:
         raise ValueError("model must be a string and version must be an integer")
--- a/src/hollowrack/platform/duty_client.py
+++ b/src/hollowrack/platform/duty_client.py
@@ -10,7 +10,7 @@
 from hollowrack.platform import names
 from hollowrack.usage.types import WindowReport
 
-# A leader starts calls only until half a second before its session can expire.
+# A call may outlast the leader's session; the fencing token identifies calls of a former leader.
 CALL_TIMEOUT_S = 0.8
 CONNECT_TIMEOUT_S = 0.4
 
--- a/src/hollowrack/platform/edge_process.py
+++ b/src/hollowrack/platform/edge_process.py
@@ -45,11 +45,10 @@
 JOB_RETENTION_FACTOR = 2.0
 READ_TIMEOUT_S = 40.0
 IDLE_TIMEOUT_S = 60.0
+# Time for requests in progress to complete at a stop: a fraction of the grace period, bounded.
 MAX_GRACEFUL_STOP_S = 3.5
 GRACEFUL_STOP_FRACTION = 0.4
 REPORT_INTERVAL_S = 10.0
-
-
 # Time for the last request accepted before a revocation to reach a worker.
 KEY_REVOCATION_MARGIN_S = 0.5
 
@@ -120,7 +119,7 @@
             self._rng,
         )
         self._feed = make_platform_feed(self.node, self._rng)
-        feed = make_mirror_feed(self.node, self._feed)
+        mirror_feed = make_mirror_feed(self.node, self._feed)
         counts = EdgeCounters(
             store_calls=store.num_calls, unreadable_entries=self._feed.unreadable.num_by_prefix
         )
@@ -148,14 +147,14 @@
             ReadinessApp(self.node), settings.listen.readiness, "listen.readiness", MAX_CONNECTIONS
         )
         self._store = store
-        self._report_task = asyncio.create_task(self._report_calls())
+        self._store_call_log_task = asyncio.create_task(self._log_store_calls())
         self._suspension_monitor = SuspensionMonitor(counts.add_suspended)
         self._suspension_monitor.start()
         self._peers: HttpServer | None = None
         if settings.listen.control_plane:
             jobs = self.node.jobs
             routes = [
-                *feed_routes(feed),
+                *feed_routes(mirror_feed),
                 *relay_routes(store),
                 *peer_routes(jobs.submit_here, jobs.answer_peer, jobs.remainder),
                 *usage_routes(self.node.receive_usage),
@@ -209,7 +208,7 @@
         await self.node.begin_stop(self._settings.bounds.grace_s)
         # Requests in progress and owned jobs finish concurrently.
         await asyncio.gather(self._frontend.stop(), self.node.complete_stop())
-        await cancel_all(self._report_task)
+        await cancel_all(self._store_call_log_task)
         await self._suspension_monitor.stop()
         await self._feed.stop()
         await self._readiness.stop()
@@ -222,7 +221,7 @@
 
     async def kill(self) -> None:
         """Stop abruptly, as a crash would; for tests."""
-        await cancel_all(self._report_task)
+        await cancel_all(self._store_call_log_task)
         await self._suspension_monitor.stop()
         await self.node.abandon()
         await self._feed.stop()
@@ -233,8 +232,8 @@
         for session in self._sessions:
             await session.close()
 
-    async def _report_calls(self) -> None:
-        """Log the number of store calls periodically; store calls are billed."""
+    async def _log_store_calls(self) -> None:
+        """Log the number of store calls, which are billed, every ``REPORT_INTERVAL_S`` seconds."""
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
             logging.info("store calls so far: %s", dict(self._store.num_calls))
@@ -242,7 +241,8 @@
     def reload(self) -> None:
         """Re-read the settings file to log whether it is valid; nothing is applied."""
         logging.info(
-            "settings file re-read, not applied: %s", type(read_process_settings()).__name__
+            "settings file re-read; changes apply after a restart, validation: %s",
+            type(read_process_settings()).__name__,
         )
 
     async def _complete_retirement(self, machine: str) -> bool:
--- a/src/hollowrack/platform/ingress.py
+++ b/src/hollowrack/platform/ingress.py
@@ -34,7 +34,7 @@
         self._node = node
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Respond with 200 or 503."""
+        """Respond with 200 if the node is ready, otherwise with 503."""
         del receive
         if scope["type"] == "http":
             status = HTTP_OK if self._node.is_ready else 503
@@ -108,7 +108,7 @@
         route = routes.lookup(exchange.host, exchange.path)
         if route is None:
             problem = Problem(ResultCode.UNKNOWN_ROUTE, routes.describe(), exchange.path)
-            await exchange.send_problem(self._unless_stale(problem))
+            await exchange.send_problem(self._problem_unless_stale(problem))
             return
         caller = self._authenticate(exchange, route.is_public)
         if isinstance(caller, Failure):
@@ -133,9 +133,11 @@
                 ResultCode.CONFIGURATION_OLD, detail, "", NOT_CONFIGURED_RETRY_AFTER_S
             )
             return Failure(problem)
-        return authenticate(tenants, exchange.credentials, is_public).alt(self._unless_stale)
+        return authenticate(tenants, exchange.credentials, is_public).alt(
+            self._problem_unless_stale
+        )
 
-    def _unless_stale(self, problem: Problem) -> Problem:
+    def _problem_unless_stale(self, problem: Problem) -> Problem:
         """Return the problem, or ``CONFIGURATION_OLD`` while the configuration may be stale.
 
         A key or route missing from a stale configuration may exist by now, and clients do not
@@ -143,7 +145,7 @@
         """
         if not self._node.is_configuration_stale:
             return problem
-        detail = f"{problem.code.name} by {self._node.routes.describe()}"
+        detail = f"{problem.code.name} according to {self._node.routes.describe()}"
         return Problem(
             ResultCode.CONFIGURATION_OLD, detail, problem.place, NOT_CONFIGURED_RETRY_AFTER_S
         )
--- a/src/hollowrack/platform/job_format.py
+++ b/src/hollowrack/platform/job_format.py
@@ -59,17 +59,19 @@
 
 
 def encode_page(page: ResultPage, after: int) -> bytes:
-    """Encode a page of results, truncated to about ``MAX_PAGE_BYTES`` of text.
+    """Encode a page of results with at most ``MAX_PAGE_BYTES`` characters of text.
+
+    The first result is always included, also if it is longer.
 
     Args:
         page: Results from the position ``after`` on.
         after: Position of the first result of the page.
     """
     results: list[dict[str, object]] = []
-    num_bytes = 0
+    num_characters = 0
     for result in page.results:
-        num_bytes += len(result.text)
-        if results and num_bytes > MAX_PAGE_BYTES:
+        num_characters += len(result.text)
+        if results and num_characters > MAX_PAGE_BYTES:
             break
         results.append(_result(result))
     content = {
--- a/src/hollowrack/platform/load_report.py
+++ b/src/hollowrack/platform/load_report.py
@@ -5,8 +5,8 @@
 from hollowrack.forwarding.back_end import LoadReport
 from hollowrack.platform import names
 
-# Running, waiting and slots. A fourth figure, the current speed, is ignored: it is outdated before
-# the next request.
+# Running requests, waiting requests, slots and, optionally, the current throughput. Only the first
+# two are used: entries of workers state the slots, and the throughput is soon outdated.
 MIN_NUM_FIGURES = 3
 MAX_NUM_FIGURES = 4
 # More digits than any possible number of requests, which connections limit.
--- a/src/hollowrack/platform/settings.py
+++ b/src/hollowrack/platform/settings.py
@@ -29,14 +29,19 @@
 class Bounds(_Section):
     """Time limits and policies that the node must meet."""
 
+    # Time between the request to stop and the end of the process.
     grace_s: float = Field(default=8.0, alias="grace-s")
+    # Time that a new leader waits before it sends orders.
     lease_ms: float = Field(default=3000.0, alias="lease-ms")
+    # Maximum time until a draining worker receives no new requests.
     drain_ms: float = Field(default=2000.0, alias="drain-ms")
     # Maximum time until a configuration change is in force on every node.
     config_apply_ms: float = Field(default=2000.0, alias="config-apply-ms")
+    # Time for which the results of an ended job can be requested.
     status_s: float = Field(default=120.0, alias="status-s")
-    # Whether a node whose keys may be out of date refuses them, and after how long.
+    # Whether a node refuses API keys while its configuration is older than a revocation may take.
     refuses_unsure_keys: bool = Field(default=False, alias="revoke-partitioned")
+    # Maximum time until a revoked key is refused.
     revoke_ms: float = Field(default=5000.0, alias="revoke-ms")
     usage_window_s: float = Field(default=5.0, alias="report-window-s", gt=0.0)
 
--- a/src/hollowrack/platform/store_client.py
+++ b/src/hollowrack/platform/store_client.py
@@ -35,8 +35,7 @@
 
 CALL_TIMEOUT_S = 1.2
 CONNECT_TIMEOUT_S = 0.6
-# Added to the wait of a watch. Longer than a slow store needs, but short, because a watch on a dead
-# connection delays changes by this time.
+# Added to the wait of a watch. A watch over a lost connection delays changes by up to this time.
 WATCH_TIMEOUT_MARGIN_S = 0.8
 MS_PER_S = 1000
 
@@ -70,7 +69,7 @@
         self.num_calls: Counter[str] = Counter()
 
     async def get(self, key: str) -> StoredItem | Unavailable | None:
-        """Read one key."""
+        """Read one key; returns ``None`` if it does not exist."""
         answer = await self._call("get", "GET", names.KV_KEY_PATH, {"key": key})
         if isinstance(answer, NotDone | Unknown):
             return answer
@@ -82,7 +81,7 @@
         return _checked(lambda: _item(body))
 
     async def list_prefix(self, prefix: str) -> Listing | Unavailable:
-        """Read all keys with a prefix, page by page."""
+        """Read all keys with a prefix, page by page; the revision is that of the first page."""
         items: list[StoredItem] = []
         revision: int | None = None
         query = {"path-prefix": prefix}
@@ -98,7 +97,8 @@
             page = _checked(functools.partial(_page, body))
             if isinstance(page, Unknown):
                 return page
-            # Pages are not a snapshot: changes since the first page must be followed.
+            # The pages are not one snapshot. A watch from the first page's revision receives all
+            # changes made between pages.
             revision = page.revision if revision is None else revision
             items.extend(page.items)
             if not page.has_more or not page.items:
@@ -120,7 +120,7 @@
             names.KV_WATCH_PATH,
             query,
             timeout_s=wait_s + WATCH_TIMEOUT_MARGIN_S,
-            quiet_s=wait_s,
+            expected_wait_s=wait_s,
         )
         if isinstance(answer, NotDone | Unknown):
             return answer
@@ -198,7 +198,7 @@
         query: dict[str, str] | None = None,
         timeout_s: float = CALL_TIMEOUT_S,
         body: object = None,
-        quiet_s: float = 0.0,
+        expected_wait_s: float = 0.0,
     ) -> tuple[int, Any] | Unavailable:
         """Send a request and return the status and the decoded body.
 
@@ -209,7 +209,7 @@
             query: Query parameters.
             timeout_s: Timeout of the request, in seconds.
             body: Body, sent as JSON.
-            quiet_s: Part of the timeout in which a silent store is expected, in seconds.
+            expected_wait_s: Time that the store may take to answer by protocol, in seconds.
         """
         self.num_calls[kind] += 1
         url = URL(self._base + path)
@@ -217,7 +217,7 @@
             url = url.with_query(query)
         timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=CONNECT_TIMEOUT_S)
         try:
-            with close_idle_on_timeout(self._session, url, quiet_s):
+            with close_idle_on_timeout(self._session, url, expected_wait_s):
                 async with self._session.request(
                     method, url, json=body, timeout=timeout
                 ) as response:
--- a/src/hollowrack/platform/store_feed.py
+++ b/src/hollowrack/platform/store_feed.py
@@ -39,13 +39,13 @@
     """Receiver of decoded changes from the platform's store."""
 
     def configuration_changed(self, configuration: RoutingConfiguration) -> None:
-        """Receive a configuration that was decoded."""
+        """Receive a new or changed configuration."""
 
     def worker_changed(self, worker: Worker) -> None:
         """Receive a new or changed worker."""
 
     def worker_removed(self, worker_id: str) -> None:
-        """Handle the removal of a worker's entry, or an unreadable one."""
+        """Handle a worker's entry that was removed or cannot be decoded."""
 
     def target_version_changed(self, model: str, version: int) -> None:
         """Receive the weight version that a trainer announced for a model."""
@@ -71,7 +71,8 @@
         starts_after: Event after which the first listings may be requested.
 
     Attributes:
-        operators: Mirror of operator keys; the sentinel for the other prefixes.
+        operators: Mirror of operator keys. It is the sentinel: if its watch may have missed
+            changes, the other prefixes are listed again.
         workers: Mirror of worker entries.
         anti_entropy: Fetches changes from other nodes while watches are silent; ``None`` to
             disable it.
@@ -175,15 +176,15 @@
                 decode_configuration(value), self._listener.configuration_changed
             )
         if key.startswith(names.NAMED_VERSION_PREFIX):
-            named = decode_target_version(key, value)
+            decoded = decode_target_version(key, value)
             return self._notify_if_decoded(
-                named, lambda version: self._listener.target_version_changed(*version)
+                decoded, lambda version: self._listener.target_version_changed(*version)
             )
         if key.startswith(names.RETIREMENT_PREFIX):
             machine = key.removeprefix(names.RETIREMENT_PREFIX)
-            asked = check_retirement(key, value)
+            checked = check_retirement(key, value)
             return self._notify_if_decoded(
-                asked, lambda _: self._listener.retirement_requested(machine)
+                checked, lambda _: self._listener.retirement_requested(machine)
             )
         return None
 
--- a/src/hollowrack/platform/strict_json.py
+++ b/src/hollowrack/platform/strict_json.py
@@ -1,4 +1,4 @@
-"""Strict JSON parser for input of other writers, without Python's extensions to the standard."""
+"""Strict JSON parser for entries of other programs, without Python's extensions to the standard."""
 
 import json
 import math
--- a/src/hollowrack/platform/unreadable_entries.py
+++ b/src/hollowrack/platform/unreadable_entries.py
@@ -7,7 +7,7 @@
 from hollowrack.observability.log_rate_limiter import LogRateLimiter
 from hollowrack.results import Problem
 
-# Entries whose last problem is kept, so that the same problem is not logged again.
+# Maximum number of entries whose last problem is stored, so that it is not logged again.
 MAX_TRACKED_ENTRIES = 1024
 
 
@@ -40,5 +40,5 @@
             logging.error("%s (%d similar log lines suppressed before)", problem, num_suppressed)
 
     def remove(self, key: str) -> None:
-        """Forget the problem of an entry that is readable again or was removed."""
+        """Remove the problem of an entry that is readable again or was removed."""
         self._problems.pop(key, None)
--- a/src/hollowrack/platform/worker_client.py
+++ b/src/hollowrack/platform/worker_client.py
@@ -34,8 +34,9 @@
 # New connections are billed. Below the 10 s after which workers close idle connections, as stated
 # in their Keep-Alive headers.
 IDLE_CONNECTION_TIMEOUT_S = 9.5
-# A request cancelled earlier than this, by a client disconnect or a faster hedge, does not count as
-# a silent connection: closing healthy connections costs new ones.
+# Expected wait for the response headers. Idle connections are closed only if a request is cancelled
+# or times out ``idle_connections.MIN_SILENCE_S`` after it, because client disconnects and hedges
+# cancel requests on healthy connections early.
 MIN_SILENCE_S = 0.5
 REPORT_TIMEOUT_S = 0.8
 ORDER_TIMEOUT_S = 0.8
@@ -55,8 +56,8 @@
         "expect",
     }
 )
-# Headers that only the system sets. From a client they could name another tenant, jump the worker's
-# queue, or use the memory of another request.
+# Headers that only the system sets. A client could otherwise impersonate another tenant, raise its
+# priority at the worker, or read the KV cache of another request.
 _SET_BY_SYSTEM = frozenset(
     name.lower()
     for name in (
@@ -77,7 +78,7 @@
 _RESPONSE_HOP_BY_HOP = frozenset(
     {"connection", "keep-alive", "transfer-encoding", "content-length"}
 )
-# Errors raised while decoding JSON of another program with missing or invalid fields.
+# Errors raised while decoding JSON with missing or invalid fields.
 _DECODE_ERRORS = (
     ValueError,
     LookupError,
--- a/src/hollowrack/platform/worker_entry.py
+++ b/src/hollowrack/platform/worker_entry.py
@@ -1,7 +1,7 @@
 """Schema and validation of the entries that workers register in the platform's store.
 
-An entry with a missing, mistyped or out-of-range field is rejected as a whole, because another
-writer may have written it. Unknown fields are ignored.
+An entry with a missing, mistyped or out-of-range field is rejected completely, because another
+program may have written it. Unknown fields are ignored.
 """
 
 import ipaddress
@@ -22,7 +22,7 @@
 # Maximum length of a text field, in characters; names and addresses appear in log lines.
 MAX_TEXT_LENGTH = 200
 
-# Identities are sent in an HTTP header.
+# Printable ASCII without spaces, because identities are sent in an HTTP header.
 _IDENTITY = re.compile(r"[!-~]+")
 
 
