--- a/src/hollowrack/cli/fleet_commands.py
+++ b/src/hollowrack/cli/fleet_commands.py
@@ -66,7 +66,7 @@
     With --logs, show the log lines about a request, item, job or worker instead.
     """
     if bool(operator) == bool(logs):
-        detail = "give either --operator or --logs"
+        detail = "exactly one of --operator and --logs is required"
         exit_with_problem(Problem(ResultCode.USAGE, detail, "explain"), as_json)
     if logs:
         _explain_from_logs(subject, logs, as_json)
--- a/src/hollowrack/cli/operator_client.py
+++ b/src/hollowrack/cli/operator_client.py
@@ -15,8 +15,8 @@
 def call_operator(method: str, url: str, body: object = None) -> Result[Any, Problem]:
     """Send a request to a node and return its JSON answer.
 
-    Fails with the problem that the node answered, or with ``PEER_UNREACHABLE`` if there is no valid
-    answer.
+    Fails with the problem that the node answered, with ``PLATFORM_ANSWER_INVALID`` if an error
+    response contains no problem, or with ``PEER_UNREACHABLE`` if no JSON answer arrives.
     """
     return asyncio.run(_call(method, url, body))
 
--- a/src/hollowrack/platform/exchange.py
+++ b/src/hollowrack/platform/exchange.py
@@ -100,7 +100,7 @@
         return parse_qs(self._query).get(name, [""])[0]
 
     def query_int(self, name: str) -> int | None:
-        """Return a query parameter as an integer; 0 if absent, ``None`` if not a number."""
+        """Return a query parameter; 0 if absent, ``None`` if not a non-negative integer."""
         value = self.query_value(name)
         if not value:
             return 0
--- a/src/hollowrack/platform/load_report.py
+++ b/src/hollowrack/platform/load_report.py
@@ -11,7 +11,7 @@
 MAX_NUM_FIGURES = 4
 # More digits than any possible number of requests, which connections limit.
 MAX_DIGITS = 6
-# Limits the log lines about a worker whose reports are always malformed.
+# One log line is written per this many malformed reports of all workers.
 MALFORMED_PER_LOG_LINE = 1000
 
 
@@ -19,7 +19,7 @@
     """Decodes load reports and ignores malformed ones.
 
     Attributes:
-        num_malformed: Number of reports ignored.
+        num_malformed: Number of malformed reports of all workers.
     """
 
     def __init__(self) -> None:
@@ -39,7 +39,8 @@
             return LoadReport(int(figures[0]), int(figures[1]))
         if self.num_malformed % MALFORMED_PER_LOG_LINE == 0:
             logging.warning(
-                "worker %s: malformed %s %r ignored, %d before it; expected comma-separated counts",
+                "worker %s: malformed %s %r ignored, %d of all workers before it; "
+                "expected comma-separated counts",
                 worker_id,
                 names.LOAD_REPORT,
                 value[:80],
--- a/src/hollowrack/platform/settings.py
+++ b/src/hollowrack/platform/settings.py
@@ -47,7 +47,7 @@
 
 
 class Limits(_Section):
-    """Resources of the machine."""
+    """Resources of the machine; the process may use ``cpu_shares * cores`` CPU cores."""
 
     cpu_shares: float = Field(default=1.0, alias="cpu-shares")
     cores: float = 1.0
