--- a/src/hollowrack_standins/config_store.py
+++ b/src/hollowrack_standins/config_store.py
@@ -63,7 +63,7 @@
     """Content of the store.
 
     Attributes:
-        leases: Expiry by lease identifier, in seconds.
+        leases: Expiry by lease identifier, in seconds on the clock of the callers.
         lease_ttls_s: Lifetime by lease identifier, in seconds.
     """
 
@@ -74,9 +74,12 @@
 
 
 class KeyValueCore:
-    """Semantics of the store without I/O; callers pass the time.
+    """Semantics of the store without I/O; callers pass the time of a monotonic clock.
 
     Bodies and answers have the form of the JSON gateway.
+
+    Attributes:
+        changed: Set and replaced by a new event after each write.
     """
 
     def __init__(self) -> None:
@@ -274,7 +277,7 @@
         return copy.deepcopy(self.core.state)
 
     def restore_state(self, state: StoreState) -> None:
-        """Replace the content by an earlier copy."""
+        """Replace the content with an earlier copy; open watches are not notified."""
         self.core.state = copy.deepcopy(state)
 
     async def start(self) -> str:
--- a/src/hollowrack_standins/engine.py
+++ b/src/hollowrack_standins/engine.py
@@ -36,10 +36,14 @@
     """Runs an :class:`EngineCore` in real time and serves it over HTTP.
 
     Args:
-        config: Configuration of the engine.
-        weight_store_url: Base URL of the store of weights to read; empty to update without reading.
+        config: Configuration of all incarnations.
+        weight_store_url: Base URL of the weight store; empty to update without reading weights.
         address: ``IP:PORT`` to listen on.
-        weight_version: Initial weight version.
+        weight_version: Initial weight version, also after a crash.
+
+    Attributes:
+        num_cancelled: Number of unfinished requests that were removed when their stream closed,
+            without those ended by a cancel call.
     """
 
     def __init__(
@@ -141,7 +145,7 @@
         return _TokenStream(self, sequence)
 
     def open_stream(self, sequence: Sequence) -> TokenQueue:
-        """Queue a request and return the queue of its outputs; ``None`` cuts the stream."""
+        """Add a request and return the queue of its outputs; ``None`` disconnects the stream."""
         queue: TokenQueue = asyncio.Queue()
         self._queues[sequence.request_id] = queue
         self.core.add(sequence)
--- a/src/hollowrack_standins/machine_list.py
+++ b/src/hollowrack_standins/machine_list.py
@@ -12,7 +12,14 @@
 
 @dataclass(frozen=True)
 class ListedMachine:
-    """A machine in the list; fields as in its labels."""
+    """A machine in the list.
+
+    Attributes:
+        address: ``IP:PORT``; the other fields are its labels.
+        kind: ``engine`` or ``service``; clients skip machines of other kinds.
+        pool: Name of the model (engine) or of the service pool (service).
+        state: ``live`` or ``leaving``.
+    """
 
     address: str
     kind: str
--- a/src/hollowrack_standins/service_worker.py
+++ b/src/hollowrack_standins/service_worker.py
@@ -47,7 +47,7 @@
     """Serves one worker over HTTP.
 
     Args:
-        name: Name of the worker, contained in every answer.
+        name: Name of the worker, contained in the body of its answers.
         address: ``IP:PORT`` to listen on.
         executions: Number of executions by request identifier; may be shared by workers. ``None``
             for a counter of its own.
