--- a/src/hollowrack/admission/controller.py
+++ b/src/hollowrack/admission/controller.py
@@ -26,7 +26,7 @@
 MIN_RETRY_AFTER_S = 0.2
 
 # Maximum age of the data in load reports: the engines' reporting delay plus the poll interval.
-REPORT_AGE_S = 0.75
+MAX_REPORT_AGE_S = 0.75
 
 
 class _Waiter:
@@ -66,7 +66,7 @@
 
     def _trim_history(self) -> None:
         # The oldest entry kept is the state at the time of the last load reports.
-        horizon_s = now_s() - REPORT_AGE_S
+        horizon_s = now_s() - MAX_REPORT_AGE_S
         while len(self.history) > 1 and self.history[1][0] <= horizon_s:
             self.history.popleft()
 
--- a/src/hollowrack/bundle/schema.py
+++ b/src/hollowrack/bundle/schema.py
@@ -14,7 +14,7 @@
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class ModelPlan(_Section):
+class ModelConfig(_Section):
     """One model served by engines."""
 
     min_replicas: int = Field(default=1, ge=0, description="Engines that must hold the model.")
@@ -29,7 +29,7 @@
     timeout_s: float = Field(default=10.0, gt=0, description="Timeout of a request, in seconds.")
 
 
-class Measures(_Section):
+class MeasureWeights(_Section):
     """Weights of trainer idle time and sample staleness."""
 
     idle_weight: float = Field(default=1.0, ge=0, description="Weight of trainer idle time.")
@@ -43,11 +43,13 @@
     """One revision of the fleet's configuration."""
 
     revision: int = Field(ge=1, description="Rises with every accepted bundle.")
-    models: dict[str, ModelPlan] = Field(default_factory=dict, description="Models by name.")
+    models: dict[str, ModelConfig] = Field(default_factory=dict, description="Models by name.")
     pools: dict[str, ServicePool] = Field(
         default_factory=dict, description="Service pools by name."
     )
-    measures: Measures = Field(default_factory=Measures, description="Weights of the measures.")
+    measures: MeasureWeights = Field(
+        default_factory=MeasureWeights, description="Weights of the measures."
+    )
     tenants: dict[str, float] = Field(
         default_factory=dict, description="Fair-share weights by tenant; others weigh one."
     )
--- a/src/hollowrack/coordination/anti_entropy.py
+++ b/src/hollowrack/coordination/anti_entropy.py
@@ -30,7 +30,7 @@
 # With two neighbours per round, a change reaches nine nodes within about four rounds.
 FANOUT = 2
 # An answer this fresh shows that the store is reachable again.
-STORE_ANSWERS_S = 0.7
+MAX_REACHABLE_STORE_AGE_S = 0.7
 # Neighbours may answer from mirrors of any age.
 ANY_AGE_S = 1e9
 
@@ -106,7 +106,7 @@
             return
         self._apply(address, prefix, answer, wants_listing)
         self._shared.record_answer(prefix, answer.as_of_s(sent_s))
-        if answer.age_s < STORE_ANSWERS_S:
+        if answer.age_s < MAX_REACHABLE_STORE_AGE_S:
             mirror.retry_now()
 
     async def _watch(
--- a/src/hollowrack/coordination/mirror_feed.py
+++ b/src/hollowrack/coordination/mirror_feed.py
@@ -7,7 +7,7 @@
 from hollowrack.coordination.watch_messages import SharedChange, SharedChanges, WatchRequest
 
 # How often a pending watch checks whether its mirror has become too stale to answer it.
-FRESHNESS_CHECK_S = 0.3
+FRESHNESS_POLL_INTERVAL_S = 0.3
 
 
 class MirrorFeed:
@@ -37,7 +37,7 @@
         end_s = received_s + request.wait_s
         pending = mirror.changes_after(request.after_revision)
         while pending == [] and now_s() < end_s:
-            await mirror.wait_for_change(min(FRESHNESS_CHECK_S, end_s - now_s()))
+            await mirror.wait_for_change(min(FRESHNESS_POLL_INTERVAL_S, end_s - now_s()))
             if not self._is_fresh(mirror, request):
                 return SharedChanges(is_stale=True)
             pending = mirror.changes_after(request.after_revision)
--- a/src/hollowrack/coordination/session.py
+++ b/src/hollowrack/coordination/session.py
@@ -20,8 +20,8 @@
 
 SESSION_TTL_S = 2.0
 RENEWAL_INTERVAL_S = 0.5
-FIRST_GRANT_RETRY_S = 0.4
-MAX_GRANT_RETRY_S = 1.6
+INITIAL_GRANT_BACKOFF_S = 0.4
+MAX_GRANT_BACKOFF_S = 1.6
 
 _OWNER_SEPARATOR = "#"
 
@@ -68,7 +68,7 @@
         self.valid_until_s = -float("inf")
         self.changed = asyncio.Event()
         self._store = store
-        self._backoff = Backoff(FIRST_GRANT_RETRY_S, MAX_GRANT_RETRY_S, rng)
+        self._backoff = Backoff(INITIAL_GRANT_BACKOFF_S, MAX_GRANT_BACKOFF_S, rng)
         self._task: asyncio.Task[None] | None = None
 
     @property
--- a/src/hollowrack/edge_connections.py
+++ b/src/hollowrack/edge_connections.py
@@ -15,9 +15,9 @@
 from hollowrack.usage.types import UsageClient, UsagePeers
 from hollowrack.weights.version_reconciler import OrderClient
 
-DEFAULT_KEEP_ENDED_S = 300.0
+DEFAULT_ENDED_JOB_RETENTION_S = 300.0
 # The shortest propagation limit of the platform's deployments.
-DEFAULT_CHANGE_BOUND_S = 2.0
+DEFAULT_MAX_CHANGE_DELAY_S = 2.0
 
 
 @dataclass(frozen=True)
@@ -71,8 +71,8 @@
     relay: RelayClient
     address: str = ""
     num_cores: float = 1.0
-    ended_job_retention_s: float = DEFAULT_KEEP_ENDED_S
-    max_change_delay_s: float = DEFAULT_CHANGE_BOUND_S
+    ended_job_retention_s: float = DEFAULT_ENDED_JOB_RETENTION_S
+    max_change_delay_s: float = DEFAULT_MAX_CHANGE_DELAY_S
     seeds: tuple[str, ...] = ()
     usage: UsageConnections | None = None
     capacity: CapacityClient | None = None
--- a/src/hollowrack/edge_node.py
+++ b/src/hollowrack/edge_node.py
@@ -356,9 +356,9 @@
         """Record the target weight version of a model; a lower version than known is ignored."""
         self._target_versions[model] = max(version, self._target_versions.get(model, 0))
 
-    def retirement_requested(self, node: str) -> None:
+    def retirement_requested(self, machine: str) -> None:
         """Record that the operators want to retire a machine."""
-        self._retirement.request(node)
+        self._retirement.request(machine)
 
     def receive_usage(self, counts: ProcessCounts) -> None:
         """Merge usage counts from another node."""
--- a/src/hollowrack/engines/controller.py
+++ b/src/hollowrack/engines/controller.py
@@ -23,7 +23,7 @@
 
 ENGINE_GROUP_PREFIX = "engines:"
 RECONCILE_INTERVAL_S = 0.1
-ENSURE_INTERVAL_S = 1.0
+GROUP_POLL_INTERVAL_S = 1.0
 FAILED_ORDER_BACKOFF_S = 1.0
 # A group created before other nodes are discovered has a single member.
 DISCOVERY_POLL_INTERVAL_S = 0.1
@@ -121,7 +121,7 @@
                 logging.warning("group %s has no leader; forcing a new epoch", group)
                 await self._groups.force_new_epoch(group)
                 last_led_s = now_s()
-            await asyncio.sleep(ENSURE_INTERVAL_S)
+            await asyncio.sleep(GROUP_POLL_INTERVAL_S)
 
     async def _wait_for_discovery(self) -> None:
         """Wait until enough nodes for a group are known or their number has stopped changing."""
--- a/src/hollowrack/forwarding/attempt_history.py
+++ b/src/hollowrack/forwarding/attempt_history.py
@@ -56,7 +56,7 @@
         """Return the error for the caller when no further worker may be tried."""
         return self._problem("no complete answer was received", "no worker accepted the request")
 
-    def out_of_time(self) -> Problem:
+    def deadline_exceeded(self) -> Problem:
         """Return the error for the caller when the deadline of the request has passed."""
         return self._problem("the deadline has passed", "the deadline has passed")
 
--- a/src/hollowrack/forwarding/forwarder.py
+++ b/src/hollowrack/forwarding/forwarder.py
@@ -142,7 +142,7 @@
             async with asyncio.timeout_at(deadline_s):
                 answer = await HedgedRun(attempts, deadline_s).first_answer()
         except TimeoutError:
-            return attempts.failed_answer or attempts.history.out_of_time()
+            return attempts.failed_answer or attempts.history.deadline_exceeded()
         return answer or attempts.final_failure()
 
 
--- a/src/hollowrack/forwarding/worker_event_intervals.py
+++ b/src/hollowrack/forwarding/worker_event_intervals.py
@@ -87,19 +87,19 @@
         """Return a worker's interval as a multiple of the best of its service."""
         return self._slowness(worker, PLACEMENT_DECAY_TIME_S, MIN_PLACEMENT_SLOWNESS)
 
-    def time_saved_s(self, worker: Worker, other: Worker | None, num_units: float) -> float:
+    def time_saved_s(self, worker: Worker, other: Worker | None, num_events: float) -> float:
         """Return the time saved by moving a run to another worker, in seconds.
 
         Args:
             worker: The current worker of the run.
             other: The other worker; ``None`` for the fastest of the service.
-            num_units: Number of remaining events of the run.
+            num_events: Number of remaining events of the run.
         """
         interval_s = self._known_interval_s(worker)
         if interval_s is None:
             return 0.0
         other_slowness = 1.0 if other is None else self.placement_slowness(other)
-        return num_units * interval_s * (1.0 - other_slowness / self.placement_slowness(worker))
+        return num_events * interval_s * (1.0 - other_slowness / self.placement_slowness(worker))
 
     def _slowness(self, worker: Worker, decay_s: float, threshold: float) -> float:
         """Return a worker's interval divided by the best; 1 if unknown or below ``threshold``."""
--- a/src/hollowrack/forwarding/workers.py
+++ b/src/hollowrack/forwarding/workers.py
@@ -87,7 +87,7 @@
         """Register a listener that is called when a worker may have become available."""
         self._listeners.append(listener)
 
-    def on_end(self, listener: Callable[[Worker], None]) -> None:
+    def on_request_end(self, listener: Callable[[Worker], None]) -> None:
         """Register a listener that is called with the worker of each request that has ended."""
         self._end_listeners.append(listener)
 
@@ -177,19 +177,19 @@
         ]
         return self.loads.choose(candidates)
 
-    def lowest_expected_latency_s(self, service: str, work: str) -> float | None:
+    def lowest_expected_latency_s(self, service: str, route: str) -> float | None:
         """Return the lowest expected latency of a request that has to wait for a slot.
 
         Args:
             service: Name of the service.
-            work: Name of the request's route; latencies are tracked separately for each route.
+            route: Name of the request's route; latencies are tracked separately for each route.
 
         Returns:
             The latency in seconds; ``None`` if any worker has a free slot or no known latency.
         """
         lowest_s: float | None = None
         for worker in self.serving(service):
-            latency_s = self.loads.expected_latency_s(worker, work)
+            latency_s = self.loads.expected_latency_s(worker, route)
             if latency_s is None or self.loads.has_free_slot(worker):
                 return None
             lowest_s = latency_s if lowest_s is None else min(lowest_s, latency_s)
@@ -270,33 +270,33 @@
         observations.num_consecutive_refusals = 0
         observations.failure_score *= FAILURE_DECAY
 
-    def record_latency(self, worker: Worker, seconds: float, work: str = "") -> None:
+    def record_latency(self, worker: Worker, seconds: float, route: str = "") -> None:
         """Record the latency of a request or the interval before an event of a stream.
 
         Args:
             worker: The worker that answered.
             seconds: Latency or interval, in seconds.
-            work: Name of the request's route, empty for events of streams; latencies are compared
+            route: Name of the request's route, empty for events of streams; latencies are compared
                 within one route only.
         """
         if not self.is_current(worker.incarnation):
             return  # State of an incarnation that has ended would never be removed.
-        self.loads.record_answer(worker, work, seconds)
+        self.loads.record_answer(worker, route, seconds)
         self._event_intervals.record(worker, seconds)
 
     def is_much_slower(self, worker: Worker) -> bool:
         """Whether a worker has recently been much slower than the fastest of its service."""
         return self._event_intervals.is_much_slower(worker)
 
-    def time_saved_s(self, worker: Worker, other: Worker | None, num_units: float) -> float:
+    def time_saved_s(self, worker: Worker, other: Worker | None, num_events: float) -> float:
         """Return the time saved by moving a run to another worker, in seconds.
 
         Args:
             worker: The current worker of the run.
             other: The other worker; ``None`` for the fastest of the service.
-            num_units: Number of remaining events of the run.
+            num_events: Number of remaining events of the run.
         """
-        return self._event_intervals.time_saved_s(worker, other, num_units)
+        return self._event_intervals.time_saved_s(worker, other, num_events)
 
     def record_busy(self, worker: Worker) -> None:
         """Record that a worker refused a request because it is full."""
--- a/src/hollowrack/jobs/job_order.py
+++ b/src/hollowrack/jobs/cached_item_order.py
@@ -15,7 +15,7 @@
 ORDER_TTL_S = 0.25
 
 
-class JobOrder:
+class CachedItemOrder:
     """Computes the order of a job's items on demand and caches it.
 
     Args:
--- a/src/hollowrack/jobs/item_order.py
+++ b/src/hollowrack/jobs/item_order.py
@@ -19,7 +19,7 @@
 
 # Trainers resubmit unfinished groups at the head of a later job: at most this fraction of the
 # groups that they wait for. Resubmitted groups are always needed.
-MAX_RETURNED_FRACTION = 0.5
+MAX_RESUBMITTED_FRACTION = 0.5
 # A group counts as late when the remaining time is below this fraction of the expected time of its
 # longest item. Expected lengths are often twice the actual ones, and postponing a long item by
 # mistake makes its group late.
@@ -142,7 +142,7 @@
     job: Job, by_work_left: Sequence[str], work_left: Mapping[str, _WorkLeft]
 ) -> frozenset[str]:
     """The groups that the trainer needs: the head of the job, then those nearest to complete."""
-    num_head = int(job.num_desired_groups * MAX_RETURNED_FRACTION)
+    num_head = int(job.num_desired_groups * MAX_RESUBMITTED_FRACTION)
     head = [group for group in by_work_left if work_left[group].position < num_head]
     others = [group for group in by_work_left if work_left[group].position >= num_head]
     return frozenset([*head, *others][: job.num_desired_groups])
--- a/src/hollowrack/jobs/job_intake.py
+++ b/src/hollowrack/jobs/job_intake.py
@@ -23,7 +23,7 @@
 RESOLVE_TIMEOUT_S = 8.0
 MAX_PEERS_ASKED = 3
 # Without an answer of a preferred node within this time, the next one or this node stores the job.
-HANDOFF_TIMEOUT_S = 1.0
+PREFERRED_OWNER_TIMEOUT_S = 1.0
 PEER_TIMEOUT_S = 3.0
 # Number of hosts, after the preferred owner, to which a node without a session submits a job before
 # it becomes the owner itself.
@@ -83,7 +83,7 @@
         may_be_stored = False
         tried_addresses = self._preferred_addresses(job)
         for address in tried_addresses:
-            peer_problem = await self._submit_to_peer(address, job, HANDOFF_TIMEOUT_S)
+            peer_problem = await self._submit_to_peer(address, job, PREFERRED_OWNER_TIMEOUT_S)
             if peer_problem is None:
                 return None
             may_be_stored = may_be_stored or peer_problem.code not in _NOT_STORED_CODES
--- a/src/hollowrack/jobs/job_runner.py
+++ b/src/hollowrack/jobs/job_runner.py
@@ -12,10 +12,10 @@
 from hollowrack.clock import now_s
 from hollowrack.coordination.store import NotDone, Unknown
 from hollowrack.forwarding.dispatch_statistics import WaitKind
+from hollowrack.jobs.cached_item_order import CachedItemOrder
 from hollowrack.jobs.item_runner import ItemRunner
 from hollowrack.jobs.item_services import ItemServices
 from hollowrack.jobs.job_log import AppendOutcome, JobLog
-from hollowrack.jobs.job_order import JobOrder
 from hollowrack.jobs.job_schedule import JobSchedule
 from hollowrack.jobs.open_work import open_work_of
 from hollowrack.jobs.progress import (
@@ -93,7 +93,7 @@
         self._saved_events = saved_events or {}
         self._item_tasks: dict[str, asyncio.Task[None]] = {}
         self._item_runners: dict[str, ItemRunner] = {}
-        self._order = JobOrder(job, services, self._schedule, self._open_runners)
+        self._order = CachedItemOrder(job, services, self._schedule, self._open_runners)
         self._item_end_s: dict[str, float] = {}
         self._saver = ProgressSaver(job.id, progress, self._item_runners.values)
         self._listing_lock = asyncio.Lock()
--- a/src/hollowrack/jobs/retention.py
+++ b/src/hollowrack/jobs/retention.py
@@ -25,14 +25,16 @@
         log: Durable state of jobs.
         live: Cluster state, with the jobs that were ended.
         leadership: States whether this node is the leader.
-        keep_s: Retention period of ended jobs, in seconds.
+        retention_s: Retention period of ended jobs, in seconds.
     """
 
-    def __init__(self, log: JobLog, live: LiveState, leadership: Leadership, keep_s: float) -> None:
+    def __init__(
+        self, log: JobLog, live: LiveState, leadership: Leadership, retention_s: float
+    ) -> None:
         self._log = log
         self._live = live
         self._leadership = leadership
-        self._keep_s = keep_s
+        self._keep_s = retention_s
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
--- a/src/hollowrack/platform/edge_process.py
+++ b/src/hollowrack/platform/edge_process.py
@@ -48,7 +48,7 @@
 # Time for requests in progress to complete at a stop: a fraction of the grace period, bounded.
 MAX_GRACEFUL_STOP_S = 3.5
 GRACEFUL_STOP_FRACTION = 0.4
-REPORT_INTERVAL_S = 10.0
+STORE_CALL_LOG_INTERVAL_S = 10.0
 # Time for the last request accepted before a revocation to reach a worker.
 KEY_REVOCATION_MARGIN_S = 0.5
 
@@ -235,7 +235,7 @@
     async def _log_store_calls(self) -> None:
         """Log the number of store calls, which are billed, every ``REPORT_INTERVAL_S`` seconds."""
         while True:
-            await asyncio.sleep(REPORT_INTERVAL_S)
+            await asyncio.sleep(STORE_CALL_LOG_INTERVAL_S)
             logging.info("store calls so far: %s", dict(self._store.num_calls))
 
     def reload(self) -> None:
--- a/src/hollowrack/platform/exchange.py
+++ b/src/hollowrack/platform/exchange.py
@@ -173,7 +173,7 @@
 
     async def _send_answer(self, status: int, headers: Headers, body: bytes) -> None:
         self.has_started = True
-        await send_whole(self._send, status, (*headers, *self._connection_headers()), body)
+        await send_complete(self._send, status, (*headers, *self._connection_headers()), body)
 
     async def send_problem(self, problem: Problem) -> None:
         """Send the error response for a problem, and log it."""
@@ -214,7 +214,7 @@
     return {"type": "http.response.start", "status": status, "headers": encoded}
 
 
-async def send_whole(send: Send, status: int, headers: Headers, body: bytes) -> None:
+async def send_complete(send: Send, status: int, headers: Headers, body: bytes) -> None:
     """Send a response whose body is known in full."""
     await send(_head(status, (*headers, ("Content-Length", str(len(body))))))
     await send({"type": "http.response.body", "body": body})
--- a/src/hollowrack/platform/ingress.py
+++ b/src/hollowrack/platform/ingress.py
@@ -15,7 +15,12 @@
 from hollowrack.forwarding.types import RouteKind
 from hollowrack.jobs.types import scoped_job_id
 from hollowrack.platform import names
-from hollowrack.platform.exchange import JSON_HEADERS, ClientDisconnectedError, Exchange, send_whole
+from hollowrack.platform.exchange import (
+    JSON_HEADERS,
+    ClientDisconnectedError,
+    Exchange,
+    send_complete,
+)
 from hollowrack.platform.job_format import decode_job, encode_page
 from hollowrack.results import Problem, ResultCode
 from hollowrack.tenants.authentication import authenticate
@@ -38,7 +43,7 @@
         del receive
         if scope["type"] == "http":
             status = HTTP_OK if self._node.is_ready else 503
-            await send_whole(send, status, (), b"")
+            await send_complete(send, status, (), b"")
 
 
 class IngressApp:
--- a/src/hollowrack/platform/job_format.py
+++ b/src/hollowrack/platform/job_format.py
@@ -13,7 +13,7 @@
 from hollowrack.platform.worker_client import forwarded_headers
 from hollowrack.results import Problem, ResultCode
 
-MAX_PAGE_BYTES = 900_000
+MAX_PAGE_CHARACTERS = 900_000
 
 
 def decode_job(
@@ -59,7 +59,7 @@
 
 
 def encode_page(page: ResultPage, after: int) -> bytes:
-    """Encode a page of results with at most ``MAX_PAGE_BYTES`` characters of text.
+    """Encode a page of results with at most ``MAX_PAGE_CHARACTERS`` characters of text.
 
     The first result is always included, also if it is longer.
 
@@ -71,7 +71,7 @@
     num_characters = 0
     for result in page.results:
         num_characters += len(result.text)
-        if results and num_characters > MAX_PAGE_BYTES:
+        if results and num_characters > MAX_PAGE_CHARACTERS:
             break
         results.append(_result(result))
     content = {
--- a/src/hollowrack/platform/store_feed.py
+++ b/src/hollowrack/platform/store_feed.py
@@ -50,7 +50,7 @@
     def target_version_changed(self, model: str, version: int) -> None:
         """Receive the weight version that a trainer announced for a model."""
 
-    def retirement_requested(self, node: str) -> None:
+    def retirement_requested(self, machine: str) -> None:
         """Receive an operator's request to retire a machine."""
 
     def watch_interrupted(self) -> None:
@@ -137,7 +137,7 @@
         self.operators.restart_watch()
         self.workers.restart_watch()
 
-    def wake(self) -> None:
+    def retry_now(self) -> None:
         """End the mirrors' backoff after failures."""
         self.operators.retry_now()
         self.workers.retry_now()
@@ -175,7 +175,7 @@
             return self._notify_if_decoded(
                 decode_configuration(value), self._listener.configuration_changed
             )
-        if key.startswith(names.NAMED_VERSION_PREFIX):
+        if key.startswith(names.TARGET_VERSION_PREFIX):
             decoded = decode_target_version(key, value)
             return self._notify_if_decoded(
                 decoded, lambda version: self._listener.target_version_changed(*version)
@@ -238,7 +238,7 @@
         feed.mirrors(), node.feed_client, node.neighbour_addresses, shared, rng
     )
     shared.source_listeners.append(feed.rewatch_workers)
-    shared.recovery_listeners.append(feed.wake)
+    shared.recovery_listeners.append(feed.retry_now)
     node.store.direct_failure_listeners.append(feed.rewatch)
     return feed
 
--- a/src/hollowrack/platform/worker_client.py
+++ b/src/hollowrack/platform/worker_client.py
@@ -37,7 +37,7 @@
 # Expected wait for the response headers. Idle connections are closed only if a request is cancelled
 # or times out ``idle_connections.MIN_SILENCE_S`` after it, because client disconnects and hedges
 # cancel requests on healthy connections early.
-MIN_SILENCE_S = 0.5
+EXPECTED_RESPONSE_S = 0.5
 REPORT_TIMEOUT_S = 0.8
 ORDER_TIMEOUT_S = 0.8
 MS_PER_S = 1000
@@ -64,10 +64,10 @@
         names.DEADLINE_MS,
         names.EXPECT_INSTANCE,
         names.EXPECT_VERSION,
-        names.MEMORY_BACKUP,
-        names.MEMORY_FETCH,
-        names.MEMORY_FROM,
-        names.MEMORY_PIN,
+        names.KV_CACHE_BACKUP,
+        names.KV_CACHE_FETCH,
+        names.KV_CACHE_FROM,
+        names.KV_CACHE_PIN,
         names.REQUEST_ID,
         names.REQUEST_PRIORITY,
         names.RESERVATION,
@@ -242,7 +242,7 @@
         """Send a request; see :class:`BackEndClient`."""
         session = self._session if is_repeatable else self._fresh_session
         try:
-            with close_idle_on_timeout(session, f"http://{worker.address}", MIN_SILENCE_S):
+            with close_idle_on_timeout(session, f"http://{worker.address}", EXPECTED_RESPONSE_S):
                 response = await session.request(
                     call.method,
                     URL(f"http://{worker.address}{call.target}", encoded=True),
--- a/src/hollowrack/requests/claims.py
+++ b/src/hollowrack/requests/claims.py
@@ -2,8 +2,8 @@
 
 An attempt claims the request's identifier before it sends the first byte. A claim ends finished
 (with the answer), released (the request provably did not run) or abandoned (the outcome is
-unknown). A group retains its latest ``MAX_KEPT_CLAIMS`` finished and abandoned claims. Retention is
-by count instead of time, so that it does not depend on clocks.
+unknown). A group retains its latest ``MAX_ENDED_CLAIMS`` finished and abandoned claims. Retention
+is by count instead of time, so that it does not depend on clocks.
 """
 
 from dataclasses import dataclass, field
@@ -14,8 +14,8 @@
 from hollowrack.requests.types import RecordedAnswer
 from hollowrack.results import value_or_raise
 
-MAX_KEPT_CLAIMS = 65_536
-MAX_KEPT_ANSWER_BYTES = 4 * 1024 * 1024
+MAX_ENDED_CLAIMS = 65_536
+MAX_STORED_ANSWER_BYTES = 4 * 1024 * 1024
 
 
 class ClaimStatus(IntEnum):
@@ -116,16 +116,16 @@
     """State machine of the claims of one group; implements ``replication.types.StateMachine``.
 
     Args:
-        max_kept_claims: Maximum number of ended claims.
+        max_ended_claims: Maximum number of ended claims.
         max_answer_bytes: Maximum total size of the stored answers' bodies, in bytes.
     """
 
     def __init__(
         self,
-        max_kept_claims: int = MAX_KEPT_CLAIMS,
-        max_answer_bytes: int = MAX_KEPT_ANSWER_BYTES,
+        max_ended_claims: int = MAX_ENDED_CLAIMS,
+        max_answer_bytes: int = MAX_STORED_ANSWER_BYTES,
     ) -> None:
-        self._max_ended_claims = max_kept_claims
+        self._max_ended_claims = max_ended_claims
         self._max_answer_bytes = max_answer_bytes
         self._state = ClaimsSnapshot()
 
--- a/src/hollowrack/requests/gateway.py
+++ b/src/hollowrack/requests/gateway.py
@@ -27,7 +27,7 @@
 from hollowrack.routing.prefix_index import prefix_blocks
 from hollowrack.routing.types import BackEndKind, Priority, RouteRequest
 
-STOPPING_RETRY_AFTER_S = 0.5
+REFUSAL_RETRY_AFTER_S = 0.5
 NO_BUNDLE_RETRY_AFTER_S = 1.0
 JSON_TYPE = "application/json"
 
@@ -181,11 +181,11 @@
     ) -> Result[RecordedAnswer, Problem]:
         if self.is_stopping:
             detail = "this node is stopping"
-            return Failure(Problem(ResultCode.STOPPING, detail, request_id, STOPPING_RETRY_AFTER_S))
+            return Failure(Problem(ResultCode.STOPPING, detail, request_id, REFUSAL_RETRY_AFTER_S))
         if self.num_in_progress >= self._max_requests:
             detail = f"{self.num_in_progress} requests are in progress on this node, its maximum"
             return Failure(
-                Problem(ResultCode.OVERLOADED, detail, request_id, STOPPING_RETRY_AFTER_S)
+                Problem(ResultCode.OVERLOADED, detail, request_id, REFUSAL_RETRY_AFTER_S)
             )
         self.num_in_progress += 1
         self._idle.clear()
--- a/src/hollowrack/rollout/service.py
+++ b/src/hollowrack/rollout/service.py
@@ -19,7 +19,7 @@
 
 COMMAND_TIMEOUT_S = 10.0
 FIND_LEADER_TIMEOUT_S = 3.0
-FORWARD_MARGIN_S = 5.0
+FORWARD_TIMEOUT_S = 5.0
 RECONCILE_INTERVAL_S = 0.02
 
 VersionListener = Callable[[str, str, int], None]
@@ -124,7 +124,7 @@
     async def read_samples(self, request: ReadSamples) -> Result[Samples, Problem]:
         """Long poll for samples at the ledger's leader; ``STOPPING`` once this node stops."""
         poll = asyncio.create_task(
-            self._at_leader(request.run, request, request.wait_s + FORWARD_MARGIN_S)
+            self._at_leader(request.run, request, request.wait_s + FORWARD_TIMEOUT_S)
         )
         stopping = asyncio.create_task(self.is_stopping.wait())
         try:
@@ -138,7 +138,7 @@
 
     async def read_status(self, request: ReadRunStatus) -> Result[RunStatus, Problem]:
         """Read the status of a run from the ledger's leader."""
-        return await self._at_leader(request.run, request, FORWARD_MARGIN_S)
+        return await self._at_leader(request.run, request, FORWARD_TIMEOUT_S)
 
     async def _at_leader(
         self, run: str, request: ReadSamples | ReadRunStatus, timeout_s: float
--- a/src/hollowrack/slots/allocator.py
+++ b/src/hollowrack/slots/allocator.py
@@ -21,8 +21,8 @@
 FIRST_REPORT_TIMEOUT_S = 0.5
 # Lifetime of a plan per pair of job and worker. Bounds the CPU time spent on planning, which is
 # proportional to the number of these pairs.
-PLAN_AGE_PER_CELL_S = 50e-6
-MAX_PLAN_AGE_S = 1.0
+PLAN_TTL_PER_JOB_AND_WORKER_S = 50e-6
+MAX_PLAN_TTL_S = 1.0
 # Bounds the memory that reports under invalid owner names can take.
 MAX_OWNERS = 512
 
@@ -175,7 +175,7 @@
             now_s: Current time, in seconds.
         """
         num_jobs = sum(len(owner.demand.work) for owner in self._owners.values())
-        max_age_s = min(MAX_PLAN_AGE_S, num_jobs * len(capacity) * PLAN_AGE_PER_CELL_S)
+        max_age_s = min(MAX_PLAN_TTL_S, num_jobs * len(capacity) * PLAN_TTL_PER_JOB_AND_WORKER_S)
         are_owners_changed = self._plan.slots.keys() != self._owners.keys()
         if are_owners_changed or now_s - self._plan_time_s >= max_age_s:
             demands = {name: owner.demand for name, owner in self._owners.items()}
--- a/src/hollowrack/slots/holder.py
+++ b/src/hollowrack/slots/holder.py
@@ -138,7 +138,7 @@
         self._share_log_limiter = LogIntervalLimiter(SHARE_LOG_INTERVAL_S)
         self._refusal_log_limiter = LogIntervalLimiter(SHARE_LOG_INTERVAL_S)
         self._last_logged_shares: dict[str, tuple[int, bool]] = {}
-        workers.on_end(self._handle_request_end)
+        workers.on_request_end(self._handle_request_end)
 
     def on_granted(self, listener: Callable[[], None]) -> None:
         """Register a listener that is called after each accepted grant."""
--- a/src/hollowrack/usage/wall_clock.py
+++ b/src/hollowrack/usage/wall_clock.py
@@ -10,7 +10,7 @@
 # Regular clock adjustments between two readings are far smaller.
 MAX_STEP_S = 0.25
 # A jump that is not reverted for this long is a correction.
-MIN_LASTING_S = 120.0
+MAX_JUMP_DURATION_S = 120.0
 
 
 class WallClock:
@@ -37,7 +37,7 @@
             self._jump_since_s = None
         elif self._jump_since_s is None:
             self._jump_since_s = steady_s
-        elif steady_s - self._jump_since_s >= MIN_LASTING_S:
+        elif steady_s - self._jump_since_s >= MAX_JUMP_DURATION_S:
             self._offset_s = offset_s
             self._jump_since_s = None
         return steady_s + self._offset_s
--- a/src/hollowrack/weights/plan.py
+++ b/src/hollowrack/weights/plan.py
@@ -13,11 +13,11 @@
 # More concurrent loads than this share of the workers slow each other down.
 CONCURRENT_LOADS_FRACTION = 0.4
 # Successive loads that fit between two versions: a load takes 1 s, versions are 4 s apart.
-LOADS_PER_SLOT = 4
+SUCCESSIVE_LOADS_PER_VERSION = 4
 # Where models share workers, leaves capacity for repeating failed loads.
 SHARED_LOADS_FRACTION = 0.75
 # Per this many planned holders, a model stays on one additional current holder.
-INCUMBENTS_PER_SPARE = 6
+HOLDERS_PER_SPARE = 6
 # A version serves two steps, so half of the workers may skip each version.
 NUM_STEPS_SERVED = 2
 
@@ -60,7 +60,7 @@
 def max_loads_per_version(num_workers: int) -> int:
     """Return how many loads fit between two versions, over all models."""
     num_concurrent = max(MIN_CONCURRENT_LOADS, CONCURRENT_LOADS_FRACTION * num_workers)
-    return int(LOADS_PER_SLOT * num_concurrent)
+    return int(SUCCESSIVE_LOADS_PER_VERSION * num_concurrent)
 
 
 def plan_loads(
@@ -95,7 +95,7 @@
     for name in names:
         current_holders = _current_holders(name, workers, held_versions)
         # A few more than planned, so that the loss of a worker does not move a model.
-        assigned[name] = current_holders[: num_holders + num_holders // INCUMBENTS_PER_SPARE]
+        assigned[name] = current_holders[: num_holders + num_holders // HOLDERS_PER_SPARE]
         num_models.update(worker.incarnation for worker in assigned[name])
     for name in names:
         others = [worker for worker in workers if worker not in assigned[name]]
--- a/src/hollowrack/weights/version_reconciler.py
+++ b/src/hollowrack/weights/version_reconciler.py
@@ -31,10 +31,10 @@
 POLL_INTERVAL_S = 0.1
 LOAD_DELAY_S = 0.8
 # Reports are polled from shortly before the expected end of a load.
-FIRST_LOAD_TIME_S = 0.9
-LOAD_TIME_FRACTION = 0.9
-UNKNOWN_LOAD_TIME_FRACTION = 0.7
-NUM_LOAD_TIMES_KEPT = 16
+INITIAL_LOAD_DURATION_S = 0.9
+FIRST_POLL_FRACTION = 0.9
+EARLY_LOAD_FRACTION = 0.7
+NUM_RECENT_LOADS = 16
 REPORT_POLL_INTERVAL_S = 0.1
 MAX_REPORT_POLLS = 100
 RETRY_INTERVAL_S = 0.4
@@ -128,7 +128,7 @@
         self._confirmed: dict[tuple[WorkerIncarnation, str], int] = {}
         self._moves: dict[WorkerIncarnation, asyncio.Task[None]] = {}
         self._loading: dict[WorkerIncarnation, str] = {}
-        self._load_durations_s: deque[float] = deque(maxlen=NUM_LOAD_TIMES_KEPT)
+        self._load_durations_s: deque[float] = deque(maxlen=NUM_RECENT_LOADS)
         self._move_ended = asyncio.Event()
         self._ready_from_s: dict[tuple[str, int], float] = {}
         self._task: asyncio.Task[None] | None = None
@@ -253,19 +253,19 @@
 
     def _expected_load_duration_s(self) -> float:
         """Duration of the shortest recent load, in seconds."""
-        return min(self._load_durations_s, default=FIRST_LOAD_TIME_S)
+        return min(self._load_durations_s, default=INITIAL_LOAD_DURATION_S)
 
     async def _wait_until_loaded(self, move: VersionMove) -> None:
         """Wait for the end of a load that has just begun, and record its duration."""
         sent_s = now_s()
-        await asyncio.sleep(LOAD_TIME_FRACTION * self._expected_load_duration_s())
+        await asyncio.sleep(FIRST_POLL_FRACTION * self._expected_load_duration_s())
         for num_polls in range(MAX_REPORT_POLLS):
             report = await self._report(move.worker)
             if report is None:
                 return
             if not report.is_busy:
                 # A load that ended before the first poll may have been much shorter.
-                fraction = 1.0 if num_polls else UNKNOWN_LOAD_TIME_FRACTION
+                fraction = 1.0 if num_polls else EARLY_LOAD_FRACTION
                 self._load_durations_s.append(fraction * (now_s() - sent_s))
                 return
             await asyncio.sleep(REPORT_POLL_INTERVAL_S)
--- a/src/hollowrack_bench/loopback_proxy.py
+++ b/src/hollowrack_bench/loopback_proxy.py
@@ -79,7 +79,7 @@
             for connection in self._connections:
                 connection.cancel()
 
-    def blackhole_open_connections(self) -> None:
+    def silence_open_connections(self) -> None:
         """Discard all further bytes of the connections open now; new connections work."""
         self._last_silenced_number = self._num_accepted
 
--- a/src/hollowrack_bench/requests_bench.py
+++ b/src/hollowrack_bench/requests_bench.py
@@ -109,7 +109,7 @@
             "refusals": dict(sorted(report.codes.items())),
             "doubled_unsafe": self.num_doubled,
             "false_not_run": report.num_false_refusals,
-            "short_answers": report.num_short,
+            "short_answers": report.num_wrong,
             "training_tokens_per_s": self.num_training_tokens / self.duration_s,
         }
 
@@ -282,9 +282,9 @@
 
 async def _partition_zone(fleet: SimulatedFleet, rng: random.Random) -> None:
     zone = rng.choice(fleet.config.zones)
-    fleet.world.partitioned_zones.add(zone)
+    fleet.simulation_state.partitioned_zones.add(zone)
     await asyncio.sleep(rng.uniform(1.0, 8.0))
-    fleet.world.partitioned_zones.discard(zone)
+    fleet.simulation_state.partitioned_zones.discard(zone)
 
 
 async def _pause_node(fleet: SimulatedFleet, rng: random.Random) -> None:
--- a/src/hollowrack_bench/rollout_bench.py
+++ b/src/hollowrack_bench/rollout_bench.py
@@ -216,9 +216,9 @@
     async def _partition_zone(self) -> None:
         zone = self._rng.choice(self._fleet.config.zones)
         self.counts["zone cut off"] += 1
-        self._fleet.world.partitioned_zones.add(zone)
+        self._fleet.simulation_state.partitioned_zones.add(zone)
         await asyncio.sleep(self._rng.uniform(1.0, 20.0))
-        self._fleet.world.partitioned_zones.discard(zone)
+        self._fleet.simulation_state.partitioned_zones.discard(zone)
 
     async def _stop_store(self) -> None:
         self.counts["store down"] += 1
--- a/src/hollowrack_bench/simulation/callers.py
+++ b/src/hollowrack_bench/simulation/callers.py
@@ -37,7 +37,7 @@
         num_ok_completions: Number of answered completions.
         finished_s: Time at which each of them finished, since the start of the replay, in seconds.
         num_tokens: Number of tokens delivered.
-        num_short: Answers with a wrong number of tokens, or of another request.
+        num_wrong: Answers with a wrong number of tokens, or of another request.
         codes: Number of failed attempts, by result code.
         num_false_refusals: Requests that ran though all their attempts were refused as "not run".
     """
@@ -49,7 +49,7 @@
     num_ok_completions: int = 0
     finished_s: list[float] = field(default_factory=list)
     num_tokens: int = 0
-    num_short: int = 0
+    num_wrong: int = 0
     codes: Counter[str] = field(default_factory=Counter)
     num_false_refusals: int = 0
 
@@ -172,7 +172,7 @@
                 entry, number
             )
         if not is_correct:
-            self.report.num_short += 1
+            self.report.num_wrong += 1
 
     def _expected_num_tokens(self, entry: TraceEntry, number: int) -> int:
         core = next(iter(self._fleet.engines.values())).core
--- a/src/hollowrack_bench/simulation/fleet.py
+++ b/src/hollowrack_bench/simulation/fleet.py
@@ -79,7 +79,7 @@
     def __init__(self, config: SimulatedFleetConfig) -> None:
         self.config = config
         self.rng = random.Random(config.seed)
-        self.world = SimulationState(
+        self.simulation_state = SimulationState(
             random.Random(self.rng.random()), zone_latency_s=config.zone_latency_s
         )
         self.store = SimulatedStore(random.Random(self.rng.random()))
@@ -147,13 +147,13 @@
         identity = NodeIdentity(
             name, zone, str(self._num_incarnations[name]), seeds, seed=self.rng.getrandbits(32)
         )
-        network = SimulatedNetwork(self.world, name, zone)
+        network = SimulatedNetwork(self.simulation_state, name, zone)
         dependencies = NodeDependencies(
             network=network,
             store_call=self.store,
             read_machines=self.machine_list.read,
             make_engine_client=lambda address: self._engine_client(zone, address),
-            services=SimulatedServiceClient(self.world, zone, self.workers),
+            services=SimulatedServiceClient(self.simulation_state, zone, self.workers),
             chooser=self.config.chooser,
         )
         limits = Limits(max_requests=self.config.max_requests)
@@ -202,7 +202,7 @@
                 await asyncio.sleep(READY_POLL_INTERVAL_S)
 
     def _engine_client(self, zone: str, address: str) -> EngineClient:
-        return SimulatedEngineClient(self.world, zone, self.engines.get(address))
+        return SimulatedEngineClient(self.simulation_state, zone, self.engines.get(address))
 
     def _is_ready(self) -> bool:
         num_slots = len(self.engines) * self.config.engine.num_slots
--- a/src/hollowrack_bench/soak_worker_faults.py
+++ b/src/hollowrack_bench/soak_worker_faults.py
@@ -15,8 +15,8 @@
 )
 
 # Several times the delay after which a plain request is hedged.
-MAX_SLOW_S = 1.2
-DEEP_NESTING = 20_000
+MAX_ANSWER_DELAY_S = 1.2
+NESTING_DEPTH = 20_000
 # The oldest weights, so that restarted workers have to load newer ones.
 RESTART_WEIGHT_VERSION = 1
 NUM_FOREIGN_KEYS = 5
@@ -83,7 +83,7 @@
         worker = self._choose()
         if worker is None:
             return
-        worker.faults.delay_s = self._rng.uniform(0.0, MAX_SLOW_S)
+        worker.faults.delay_s = self._rng.uniform(0.0, MAX_ANSWER_DELAY_S)
         worker.faults.sheds = self._rng.random() < 1 / 2
         await self._wait_fault_duration()
         worker.faults.delay_s = 0.0
@@ -115,7 +115,7 @@
 
     def _foreign_value(self) -> bytes:
         if self._rng.random() < 1 / 4:
-            return self._rng.choice([b"\xff\x00", b"[" * DEEP_NESTING, b"{", b"7", b""])
+            return self._rng.choice([b"\xff\x00", b"[" * NESTING_DEPTH, b"{", b"7", b""])
         field, value = self._rng.choice(
             [
                 ("state", "retired"),
--- a/src/hollowrack_standins/coordination_store.py
+++ b/src/hollowrack_standins/coordination_store.py
@@ -80,7 +80,7 @@
         self._lease_ids = itertools.count(1)
         self._changed = asyncio.Event()
 
-    def view(self, faults: StoreFaults | None = None) -> "CoordinationStoreStandin":
+    def make_client(self, faults: StoreFaults | None = None) -> "CoordinationStoreStandin":
         """Return one node's client of the store; ``faults`` is ``None`` for no faults."""
         return CoordinationStoreStandin(self, faults or StoreFaults())
 
