--- a/src/hollowrack/coordination/anti_entropy.py
+++ b/src/hollowrack/coordination/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy for store mirrors: fetches changes from other nodes while the own watch hangs.
+"""Anti-entropy for store mirrors: fetches changes from other nodes while a node's watch hangs.
 
 A watch on a dead connection blocks until its timeout, and a backoff follows each failure. Meanwhile
 other nodes may have received changes, so a node whose watch has not answered for a short time
@@ -30,7 +30,7 @@
 # With two neighbours per round, a change reaches nine nodes within about four rounds.
 FANOUT = 2
 # An answer this fresh shows that the store is reachable again.
-STORE_ANSWERS_S = 0.7
+MAX_REACHABLE_STORE_AGE_S = 0.7
 # Neighbours may answer from mirrors of any age.
 ANY_AGE_S = 1e9
 
@@ -106,7 +106,7 @@
             return
         self._apply(address, prefix, answer, wants_listing)
         self._shared.record_answer(prefix, answer.as_of_s(sent_s))
-        if answer.age_s < STORE_ANSWERS_S:
+        if answer.age_s < MAX_REACHABLE_STORE_AGE_S:
             mirror.retry_now()
 
     async def _watch(
@@ -124,7 +124,7 @@
             mirror.apply_changes(Changes(answer.items(), answer.revision))
         if mirror.reached_revision != before and answer.changes:
             logging.info(
-                "changes of %s from the node %s: revision %d after %d, of %.2f s ago",
+                "changes of %s from node %s: revision %d after %d, age %.2f s",
                 prefix,
                 address,
                 mirror.reached_revision,
--- a/src/hollowrack/platform/worker_client.py
+++ b/src/hollowrack/platform/worker_client.py
@@ -34,9 +34,10 @@
 # New connections are billed. Below the 10 s after which workers close idle connections, as stated
 # in their Keep-Alive headers.
 IDLE_CONNECTION_TIMEOUT_S = 9.5
-# A request cancelled earlier than this, by a client disconnect or a faster hedge, does not count as
-# a silent connection: closing healthy connections costs new ones.
-MIN_SILENCE_S = 0.5
+# Expected wait for the response headers. Idle connections are closed only if a request is cancelled
+# or times out ``idle_connections.MIN_SILENCE_S`` after it, because client disconnects and hedges
+# cancel requests on healthy connections early.
+EXPECTED_RESPONSE_S = 0.5
 REPORT_TIMEOUT_S = 0.8
 ORDER_TIMEOUT_S = 0.8
 MS_PER_S = 1000
@@ -55,18 +56,18 @@
         "expect",
     }
 )
-# Headers that only the system sets. From a client they could name another tenant, jump the worker's
-# queue, or use the memory of another request.
+# Headers that only the system sets. A client could otherwise impersonate another tenant, raise its
+# priority at the worker, or read the KV cache of another request.
 _SET_BY_SYSTEM = frozenset(
     name.lower()
     for name in (
         names.DEADLINE_MS,
         names.EXPECT_INSTANCE,
         names.EXPECT_VERSION,
-        names.MEMORY_BACKUP,
-        names.MEMORY_FETCH,
-        names.MEMORY_FROM,
-        names.MEMORY_PIN,
+        names.KV_CACHE_BACKUP,
+        names.KV_CACHE_FETCH,
+        names.KV_CACHE_FROM,
+        names.KV_CACHE_PIN,
         names.REQUEST_ID,
         names.REQUEST_PRIORITY,
         names.RESERVATION,
@@ -77,7 +78,7 @@
 _RESPONSE_HOP_BY_HOP = frozenset(
     {"connection", "keep-alive", "transfer-encoding", "content-length"}
 )
-# Errors raised while decoding JSON of another program with missing or invalid fields.
+# Errors raised while decoding JSON with missing or invalid fields.
 _DECODE_ERRORS = (
     ValueError,
     LookupError,
@@ -241,7 +242,7 @@
         """Send a request; see :class:`BackEndClient`."""
         session = self._session if is_repeatable else self._fresh_session
         try:
-            with close_idle_on_timeout(session, f"http://{worker.address}", MIN_SILENCE_S):
+            with close_idle_on_timeout(session, f"http://{worker.address}", EXPECTED_RESPONSE_S):
                 response = await session.request(
                     call.method,
                     URL(f"http://{worker.address}{call.target}", encoded=True),
