--- a/src/hollowrack/forwarding/call_limiter.py
+++ b/src/hollowrack/forwarding/call_limiter.py
@@ -1,4 +1,4 @@
-"""Limits this node's own concurrent calls to workers that also serve callers.
+"""Limiter of this node's own concurrent calls to workers that also serve callers.
 
 Many items of a job may end together, each followed by a call to a scorer. Without a limit these
 calls would occupy all slots of the scorer's workers.
--- a/src/hollowrack/forwarding/dispatch_rank.py
+++ b/src/hollowrack/forwarding/dispatch_rank.py
@@ -29,8 +29,8 @@
         kind: Streams of callers go before items of jobs.
         usefulness: Work whose result is late, or that the trainer does not need for now, goes after
             the rest, so that it delays no other work.
-        due_s: When the job's results are due, on the loop's clock; if the job's groups run
-            concurrently, the latest time at which the item has to start for that.
+        due_s: When the job's results are due, on the loop's clock; for a job whose groups run
+            concurrently, the latest start of the item with which its result is in time.
         sequence: Number of the job on this node; of jobs with the same due time the earlier one
             goes first.
         group_rank: Rank of the item's group within its job.
--- a/src/hollowrack/forwarding/forwarder.py
+++ b/src/hollowrack/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards plain requests to workers with retries and hedging.
+"""Forwarder of plain requests to workers, with retries and hedging.
 
 As in :mod:`hollowrack.requests.lifecycle`, a request is reported as not run only if no worker can
 have run it. A request that is not idempotent is never sent again after a worker may have run it.
--- a/src/hollowrack/forwarding/hedged_run.py
+++ b/src/hollowrack/forwarding/hedged_run.py
@@ -1,4 +1,4 @@
-"""Runs the attempts of one request: retries after failures and hedged attempts when one is late."""
+"""Runner of one request's attempts: retries after failures, hedged attempts when one is late."""
 
 import asyncio
 from dataclasses import dataclass
--- a/src/hollowrack/forwarding/resumable_run.py
+++ b/src/hollowrack/forwarding/resumable_run.py
@@ -103,7 +103,7 @@
         acquire: Reserves a slot for the run and returns its worker, avoiding the given incarnations
             if possible; the slot is released through ``workers.release_slot``.
         read_version: Reads the weight version from an event; ``None`` if the event has none.
-        accepts_version: Whether an answer that starts with a weight version may be used.
+        accepts_version: Returns whether an answer that starts with a weight version may be used.
         limits: Limits of the run.
         quarantine: Blocks calls that are suspected of crashing workers.
         after_event: Number of the event after which the run starts; ``None`` for the first event.
--- a/src/hollowrack/forwarding/run_retry_policy.py
+++ b/src/hollowrack/forwarding/run_retry_policy.py
@@ -10,7 +10,7 @@
 INITIAL_BACKOFF_S = 0.05
 # Also bounds the delay after all workers have recovered.
 MAX_BACKOFF_S = 2.0
-# Upper bound before a retry at a worker that has not failed the run yet.
+# Upper bound of the backoff before a retry at a worker that has not failed the run yet.
 MAX_OTHER_WORKER_BACKOFF_S = 0.3
 
 
--- a/src/hollowrack/forwarding/stream_forwarder.py
+++ b/src/hollowrack/forwarding/stream_forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards requests that are answered with streams of events."""
+"""Forwarder of requests that are answered with streams of events."""
 
 import contextlib
 from collections.abc import AsyncGenerator, Callable
--- a/src/hollowrack/forwarding/types.py
+++ b/src/hollowrack/forwarding/types.py
@@ -9,7 +9,14 @@
 
 
 class RouteKind(Enum):
-    """How a route's requests may be handled; the values appear in the configuration."""
+    """How a route's requests may be handled; the values appear in the configuration.
+
+    Attributes:
+        SAFE: Plain answer; several workers may run the request.
+        UNSAFE: Plain answer; at most one worker may run the request.
+        STREAM: The answer is a stream of events.
+        JOB: The request submits a job.
+    """
 
     SAFE = "safe"
     UNSAFE = "unsafe"
--- a/src/hollowrack/forwarding/worker_load.py
+++ b/src/hollowrack/forwarding/worker_load.py
@@ -215,10 +215,10 @@
     def _relative_latency(self, worker: Worker) -> float:
         """Expected latency as a multiple of the typical latency at an idle worker."""
         load = self._num_requests(worker) / max(1, worker.capacity)
-        distance = 1.0 if worker.zone == self._zone else REMOTE_FACTOR
+        zone_factor = 1.0 if worker.zone == self._zone else REMOTE_FACTOR
         stats = self._stats.get(worker.incarnation)
         avoidance = 1.0 if stats is None else stats.slowness.value * stats.penalty.value
-        return (1.0 + load) * avoidance * distance
+        return (1.0 + load) * avoidance * zone_factor
 
     def _num_requests(self, worker: Worker) -> float:
         """Number of requests at a worker: this node's and, by its load report, other nodes'."""
--- a/src/hollowrack/forwarding/workers.py
+++ b/src/hollowrack/forwarding/workers.py
@@ -352,7 +352,7 @@
         return max(1.0, self.num_in_flight(worker) / max(1, worker.capacity))
 
     def _observations_of(self, worker: Worker) -> _Observations:
-        """Return the observations of a worker; empty ones if none are kept."""
+        """Return the observations of a worker; empty ones if none are stored."""
         return self._observations.get(worker.incarnation) or _Observations()
 
     def _remove_observations_if_idle(self, worker: Worker) -> None:
--- a/src/hollowrack/quarantine/registry.py
+++ b/src/hollowrack/quarantine/registry.py
@@ -35,7 +35,7 @@
 
     Attributes:
         crashed: Crashed worker incarnations, as texts.
-        shared: Those contained in the store's record.
+        shared: Crashed worker incarnations contained in the store's record.
         revision: Revision of that record; :data:`ABSENT_REVISION` without one.
         must_share: Whether crashes missing in the record must be written to it.
         is_cleared: Whether the request has been cleared and its record must be removed.
@@ -195,7 +195,7 @@
         )
         evicted = next(not_quarantined, older[0])
         logging.warning(
-            "limit of suspects reached: crashes of the request with fingerprint %s are forgotten",
+            "limit of suspects reached: crash count of the request with fingerprint %s discarded",
             evicted,
         )
         self._clear(evicted)
--- a/src/hollowrack/slots/allocator.py
+++ b/src/hollowrack/slots/allocator.py
@@ -248,8 +248,7 @@
         """Whether owners that have not reported yet may hold grants of an earlier leader.
 
         Until this is ruled out, owners keep the limits that they reported, which the earlier leader
-        had granted.
-        A leader that had to wait before it may act is already past this period.
+        had granted. A leader that had to wait before it may act is already past this period.
         """
         age_s = now_s - self._leader_since_s
         return age_s < FIRST_REPORT_TIMEOUT_S or (bool(unreported) and age_s < GRANT_TTL_S)
--- a/src/hollowrack/slots/arbiter.py
+++ b/src/hollowrack/slots/arbiter.py
@@ -36,7 +36,7 @@
         known_owners: Returns the owners that are expected to report.
 
     Attributes:
-        num_refused: Reports rejected as malformed or out of order.
+        num_refused: Reports rejected as malformed or out of order, or above the limit of owners.
     """
 
     def __init__(
--- a/src/hollowrack/slots/reporter.py
+++ b/src/hollowrack/slots/reporter.py
@@ -18,7 +18,7 @@
 OWED_REPORT_INTERVAL_S = 0.1
 # Unused slots are reassigned within two reports.
 ACTIVE_REPORT_INTERVAL_S = 0.2
-# A report without other purpose renews the grant: a third of GRANT_TTL_S.
+# Interval of reports that only renew the grant: a third of GRANT_TTL_S.
 IDLE_REPORT_INTERVAL_S = 1.0
 # Combines changes that follow each other closely into one report.
 MIN_REPORT_INTERVAL_S = 0.05
