--- a/src/hollowrack/api/callers.py
+++ b/src/hollowrack/api/callers.py
@@ -76,7 +76,7 @@
     """The validated headers of a call.
 
     Raises:
-        ValueError: If a header is invalid; the message names it.
+        ValueError: If a header is invalid.
     """
 
     def __init__(self, request: Request) -> None:
--- a/src/hollowrack/api/trainers.py
+++ b/src/hollowrack/api/trainers.py
@@ -169,7 +169,9 @@
         name = "wait_s"
         wait_s = float(query.get("wait_s", "0"))
     except (KeyError, ValueError):
-        return Problem(ResultCode.BAD_REQUEST, f"query parameter {name!r} is not a number", name)
+        return Problem(
+            ResultCode.BAD_REQUEST, f"query parameter {name!r} is missing or not a number", name
+        )
     if step < 0 or cursor < 0 or not 1 <= limit <= MAX_SAMPLES_PER_READ:
         detail = f"step and cursor must be >= 0, limit from 1 to {MAX_SAMPLES_PER_READ}"
         return Problem(ResultCode.BAD_REQUEST, detail, "query")
--- a/src/hollowrack/bundle/agent.py
+++ b/src/hollowrack/bundle/agent.py
@@ -122,7 +122,9 @@
             ProblemError: ``BUNDLE_REVISION_LOWER`` if its revision is below ``min_revision``.
         """
         if self._signed is None or self.revision < request.min_revision:
-            detail = f"revision {self.revision} is in force on this node"
+            detail = (
+                f"the current revision on this node is {self.revision}, below the requested one"
+            )
             raise ProblemError(Problem(ResultCode.BUNDLE_REVISION_LOWER, detail, "revision"))
         return self._signed
 
@@ -146,7 +148,11 @@
             isinstance(result, Failure)
             and result.failure().code is ResultCode.BUNDLE_REVISION_LOWER
         ):
-            logging.error("configuration store returned an older bundle: %s", result.failure())
+            logging.error(
+                "configuration store returned an older bundle, or another one of the current "
+                "revision: %s",
+                result.failure(),
+            )
 
     def _is_store_watcher(self) -> bool:
         own = self._membership.swim.own
--- a/src/hollowrack/engines/controller.py
+++ b/src/hollowrack/engines/controller.py
@@ -110,17 +110,17 @@
     async def _group_loop(self) -> None:
         group = engine_group(self._zone)
         await self._wait_for_discovery()
-        last_led_s = now_s()
+        last_leader_s = now_s()
         while True:
             await self._groups.find_or_create(group)
             if await self._groups.has_leader(group):
-                last_led_s = now_s()
-            elif now_s() - last_led_s > LEADERLESS_TIMEOUT_S:
+                last_leader_s = now_s()
+            elif now_s() - last_leader_s > LEADERLESS_TIMEOUT_S:
                 # Safe without the former members: the group has no state, and engines reject
                 # orders with older fencing tokens.
                 logging.warning("group %s has no leader; forcing a new epoch", group)
                 await self._groups.force_new_epoch(group)
-                last_led_s = now_s()
+                last_leader_s = now_s()
             await asyncio.sleep(GROUP_POLL_INTERVAL_S)
 
     async def _wait_for_discovery(self) -> None:
@@ -179,5 +179,7 @@
         state = await client.read_state()
         self._fleet.apply_engine_state(address, state.value_or(None))
         if isinstance(result, Failure):
-            logging.warning("order to engine %s failed: %s", address, result.failure())
+            logging.warning(
+                "weight version order to engine %s failed: %s", address, result.failure()
+            )
             await asyncio.sleep(FAILED_ORDER_BACKOFF_S)
--- a/src/hollowrack/membership/datagrams.py
+++ b/src/hollowrack/membership/datagrams.py
@@ -54,6 +54,9 @@
         node: Name of this node.
         cluster_key: Key shared by all nodes.
         previous_key: Key that is also accepted, during a key rotation.
+
+    Attributes:
+        num_dropped: Number of incoming datagrams that were rejected.
     """
 
     def __init__(self, node: str, cluster_key: bytes, previous_key: bytes | None = None) -> None:
--- a/src/hollowrack/replication/client.py
+++ b/src/hollowrack/replication/client.py
@@ -65,7 +65,7 @@
         self._directory = directory
         self._repair = repair
         self._placement_of = placement_of
-        self._known: dict[str, Membership] = {}
+        self._cached_memberships: dict[str, Membership] = {}
         self._leader_hints: dict[str, str] = {}
 
     # -- lookup -----------------------------------------------------------------------------
@@ -81,29 +81,29 @@
             return Failure(Problem(ResultCode.NO_QUORUM, detail, group))
         created = await self._directory.create(group, members)
         if isinstance(created, Success):
-            self._known[group] = created.unwrap()
+            self._cached_memberships[group] = created.unwrap()
             await self._repair.announce(group, created.unwrap(), created.unwrap().members)
         return created
 
     async def find(self, group: str) -> Result[Membership, Problem]:
         """Return the membership of a group.
 
-        Looks at the own replica and the cache, then in the configuration store, then asks peers.
+        Checks this node's replica and the cache, then the configuration store, then queries peers.
         Fails with ``GROUP_UNKNOWN``.
         """
-        own = self._host.describe(group).membership or self._known.get(group)
+        own = self._host.describe(group).membership or self._cached_memberships.get(group)
         if own is not None:
             return Success(own)
         stored = (await self._directory.read(group)).value_or(None)
         if stored is None:
             await self._query_nodes(group, self._links.candidates(group)[:MAX_LOOKUP_PEERS])
-            stored = self._known.get(group)
+            stored = self._cached_memberships.get(group)
         if stored is None:
             return Failure(
                 Problem(ResultCode.GROUP_UNKNOWN, "no membership of the group was found", group)
             )
-        self._update_known(group, stored)
-        return Success(self._known[group])
+        self._update_cached_membership(group, stored)
+        return Success(self._cached_memberships[group])
 
     async def _refresh(self, group: str, membership: Membership) -> None:
         """Update the membership and the leader hint from the members, else from the store."""
@@ -111,7 +111,7 @@
         if not await self._query_nodes(group, members):
             stored = (await self._directory.read(group)).value_or(None)
             if stored is not None:
-                self._update_known(group, stored)
+                self._update_cached_membership(group, stored)
 
     async def _query_nodes(self, group: str, nodes: list[str]) -> bool:
         """Query nodes for a group's membership and leader; returns whether a leader was found."""
@@ -128,8 +128,8 @@
         ]
         for answer in found:
             if answer.membership is not None:
-                self._update_known(group, answer.membership)
-        newest = self._known.get(group)
+                self._update_cached_membership(group, answer.membership)
+        newest = self._cached_memberships.get(group)
         leaders = [
             node_of(answer.leader)
             for answer in found
@@ -139,10 +139,10 @@
             self._leader_hints[group] = max(set(leaders), key=leaders.count)
         return bool(leaders)
 
-    def _update_known(self, group: str, membership: Membership) -> None:
-        known = self._known.get(group)
+    def _update_cached_membership(self, group: str, membership: Membership) -> None:
+        known = self._cached_memberships.get(group)
         if known is None or membership.epoch >= known.epoch:
-            self._known[group] = membership
+            self._cached_memberships[group] = membership
 
     async def has_leader(self, group: str) -> bool:
         """Return whether any member of a group knows its leader."""
@@ -172,7 +172,7 @@
         activated = await self._directory.activate(group, membership.epoch)
         if isinstance(activated, Failure):
             return activated
-        self._update_known(group, membership)
+        self._update_cached_membership(group, membership)
         await self._repair.announce(group, membership, membership.members)
         return Success(membership)
 
--- a/src/hollowrack/replication/journal.py
+++ b/src/hollowrack/replication/journal.py
@@ -48,8 +48,8 @@
 
     Attributes:
         records: Complete records in order.
-        num_valid_bytes: Size of these records.
-        num_torn_bytes: Size of the incomplete record after them.
+        num_valid_bytes: Size of these records, in bytes.
+        num_torn_bytes: Size of the incomplete or corrupt last record, in bytes.
     """
 
     records: tuple[StorageRecord, ...]
@@ -149,7 +149,7 @@
         try:
             self._file.close()
         except OSError as error:
-            logging.warning("%s", _disk_problem(self._path, error))
+            logging.warning("journal not closed: %s", _disk_problem(self._path, error))
 
     def _rewrite(self, record: Compacted) -> None:
         self._file.close()
@@ -240,7 +240,7 @@
             self._write_manifest(Manifest(self._manifest.incarnation, groups))
             self._path(group).unlink(missing_ok=True)
         except OSError as error:
-            logging.warning("%s", _disk_problem(self._path(group), error))
+            logging.warning("journal not removed: %s", _disk_problem(self._path(group), error))
         self.loaded.pop(group, None)
 
     def _load(self) -> Manifest:
@@ -275,7 +275,9 @@
         files = [path for path in self._folder.iterdir() if path.is_file()]
         if files:
             logging.error(
-                "journals moved to a subfolder, node starts with a new incarnation: %s", reason
+                "moving the journals to subfolder lost-<new incarnation>, node starts with a new "
+                "incarnation: %s",
+                reason,
             )
             backup = self._folder / f"lost-{incarnation}"
             backup.mkdir()
--- a/src/hollowrack/replication/replica.py
+++ b/src/hollowrack/replication/replica.py
@@ -204,14 +204,15 @@
             if now_s >= self._next_heartbeat_s:
                 self._send_heartbeats()
             if not self._has_active_quorum():
-                # Its heartbeats may still arrive and would keep followers from electing another.
+                # Its heartbeats may still reach followers and would prevent them from electing
+                # a leader that can commit.
                 self._step_down()
                 self._reset_election_timeout()
         elif now_s >= self._election_deadline_s:
             self.start_pre_vote()
 
     def start_pre_vote(self) -> None:
-        """Start a pre-vote; a partitioned replica cannot then disrupt the group by elections."""
+        """Start a pre-vote, so that a partitioned replica cannot disrupt the group by elections."""
         self._reset_election_timeout()
         ballot = self._next_ballot()
         if ballot is None:
--- a/src/hollowrack/requests/at_most_once.py
+++ b/src/hollowrack/requests/at_most_once.py
@@ -135,8 +135,8 @@
             try:
                 claimed = await self._commit(Claim(request_id, digest, attempt), CLAIM_TIMEOUT_S)
                 if isinstance(claimed, Failure):
-                    # The claim may still be committed; its readers ask this node and learn that
-                    # nothing ran.
+                    # The claim may still be committed. Nodes that find it query this node, which
+                    # replies that the attempt did not run.
                     self._record_not_run(attempt)
                     self._commit_in_background(Release(request_id, attempt))
                     return Failure(_no_quorum(request_id, claimed.failure()))
--- a/src/hollowrack/requests/gateway.py
+++ b/src/hollowrack/requests/gateway.py
@@ -100,7 +100,7 @@
         max_requests: Maximum number of requests in progress.
 
     Attributes:
-        bundle: The bundle in force; ``None`` until one has been loaded.
+        bundle: The current bundle; ``None`` until one has been applied.
         is_stopping: Whether new requests are refused because the node is stopping.
         num_in_progress: Number of requests in progress.
     """
@@ -258,7 +258,7 @@
 
     def _not_in_bundle(self, code: ResultCode, name: str) -> Problem:
         if self.bundle is None:
-            detail = "no bundle is in force on this node yet"
+            detail = "no bundle has been applied on this node yet"
             return Problem(ResultCode.NO_BACK_END, detail, name, NO_BUNDLE_RETRY_AFTER_S)
         return Problem(code, f"{name!r} is not in bundle revision {self.bundle.revision}", name)
 
--- a/src/hollowrack/rollout/coordinator.py
+++ b/src/hollowrack/rollout/coordinator.py
@@ -64,6 +64,13 @@
 
 @dataclass
 class _RunningSlot:
+    """A sample slot that an executor runs.
+
+    Attributes:
+        node: Node of the executor.
+        received_s: Time of the last report, or of the assignment if there is none, in seconds.
+    """
+
     node: str
     received_s: float
 
@@ -73,7 +80,7 @@
     """Running sample slots of one run, from the reports of the executors.
 
     Attributes:
-        slots: Executor and time of the last report, by sample slot.
+        slots: Executor and time of the assignment or the last report, by sample slot.
     """
 
     slots: dict[SampleSlot, _RunningSlot] = field(default_factory=dict)
--- a/src/hollowrack/rollout/executor.py
+++ b/src/hollowrack/rollout/executor.py
@@ -195,7 +195,8 @@
         if age <= assignment.max_staleness_versions:
             return None
         return Problem(
-            ResultCode.SAMPLE_STALE, f"{age} weight versions old during generation, over the bound"
+            ResultCode.SAMPLE_STALE,
+            f"{age} weight versions old during generation, above the run's staleness bound",
         )
 
     async def _commit(self, assignment: Assignment, generated: GeneratedText) -> None:
--- a/src/hollowrack/routing/fleet.py
+++ b/src/hollowrack/routing/fleet.py
@@ -54,8 +54,8 @@
         other_nodes_live: Live requests of other nodes, by each of the last reports.
         other_nodes_load: All requests of other nodes, by each of the last reports.
         circuit: Circuit breaker, driven by the outcomes of this node's requests.
-        cached_back_end: Cached routing snapshot of the record; ``None`` after a change. A placement
-            reads all back ends and changes one.
+        cached_back_end: Cached routing snapshot of the record; ``None`` after a change. It saves
+            rebuilding all snapshots for each placement, which changes only one record.
     """
 
     machine: Machine
