--- a/src/hollowrack/api/server.py
+++ b/src/hollowrack/api/server.py
@@ -38,8 +38,10 @@
         place: Settings key of the address, reported in errors.
         max_connections: Maximum number of connections; further ones receive status 503.
         read_timeout_s: Timeout for reading one request, in seconds.
-        idle_timeout_s: Keep-alive timeout of idle connections, in seconds.
-        graceful_stop_s: Maximum time for open requests to finish at a stop, in seconds.
+        idle_timeout_s: Keep-alive timeout of idle connections, in seconds; rounded up to
+            an integer.
+        graceful_stop_s: Maximum time for open requests to finish at a stop, in seconds; rounded up
+            to an integer.
     """
 
     def __init__(
--- a/src/hollowrack/membership/swim.py
+++ b/src/hollowrack/membership/swim.py
@@ -322,10 +322,10 @@
                 contact.unanswered_since_s = self._now_s
             return
         if member.status in (MemberStatus.ALIVE, MemberStatus.LEAVING):
-            suspect = member.with_status(MemberStatus.SUSPECT)
+            updated = member.with_status(MemberStatus.SUSPECT)
             if member.status is MemberStatus.LEAVING:
-                suspect = member.with_status(MemberStatus.DEAD)
-            self._merge_member(suspect)
+                updated = member.with_status(MemberStatus.DEAD)
+            self._merge_member(updated)
 
     # -- replies ----------------------------------------------------------------------------
 
