--- a/src/hollowrack_bench/loopback_proxy.py
+++ b/src/hollowrack_bench/loopback_proxy.py
@@ -54,7 +54,7 @@
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.Task[None]] = set()
         self._num_accepted = 0
-        # Connections accepted up to this number forward no further bytes.
+        # Connections whose number is at most this one forward no further bytes.
         self._last_silenced_number = 0
 
     async def start(self) -> str:
--- a/src/hollowrack_bench/platform_demo.py
+++ b/src/hollowrack_bench/platform_demo.py
@@ -233,7 +233,9 @@
     def _check_complete_result(self, result: dict[str, Any]) -> None:
         text = "\n".join(f"{result['id']}.{n}" for n in range(1, NUM_EVENTS + 1))
         if result["state"] != names.RESULT_COMPLETE or result["text"] != text:
-            self.outcome.violations.append(f"{result['id']}: incomplete state or text")
+            self.outcome.violations.append(
+                f"{result['id']}: incomplete or wrong text, state {result['state']!r}"
+            )
         if not result.get("versions") or not result.get("score"):
             self.outcome.violations.append(f"{result['id']}: versions or score missing")
 
--- a/src/hollowrack_bench/program.py
+++ b/src/hollowrack_bench/program.py
@@ -22,7 +22,7 @@
 @hollowrack.command()
 def demo() -> None:
     """Run a fleet with stand-ins in this process and check its guarantees."""
-    # Stand-ins interrupt streams on purpose; their servers' errors are not of interest.
+    # uvicorn logs an error for each stream that a stand-in interrupts on purpose.
     logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)
     outcome = asyncio.run(run_demo())
     print_table(outcome.rows)
--- a/src/hollowrack_bench/simulation/callers.py
+++ b/src/hollowrack_bench/simulation/callers.py
@@ -35,7 +35,7 @@
         num_sent: Number of requests sent.
         num_ok: Number of answered requests.
         num_ok_completions: Number of answered completions.
-        finished_s: Time at which each of them finished, since the start of the replay, in seconds.
+        finished_s: Finish time of each answered completion, in seconds since the replay started.
         num_tokens: Number of tokens delivered.
         num_wrong: Answers with a wrong number of tokens, or of another request.
         codes: Number of failed attempts, by result code.
--- a/src/hollowrack_bench/soak_worker_faults.py
+++ b/src/hollowrack_bench/soak_worker_faults.py
@@ -55,7 +55,7 @@
 
     async def restart(self) -> None:
         """Crash a worker; it restarts with the same identifier and no state."""
-        worker = self._choose()
+        worker = self._choose_running_worker()
         if worker is None:
             return
         self._stopped.add(worker.id)
@@ -80,7 +80,7 @@
 
     async def slow_down(self) -> None:
         """Delay a worker's answers, or make it shed load, for the duration of a fault."""
-        worker = self._choose()
+        worker = self._choose_running_worker()
         if worker is None:
             return
         worker.faults.delay_s = self._rng.uniform(0.0, MAX_ANSWER_DELAY_S)
@@ -95,14 +95,14 @@
         # Requests name their worker: the decoy answers only those sent under its own key.
         for key in [self.decoy.id, *keys]:
             self._store.put_bytes(names.WORKERS_PREFIX + key, self._foreign_value())
-        worker = self._choose()
+        worker = self._choose_running_worker()
         if worker is None:
             return
         self._store.put_bytes(names.WORKERS_PREFIX + worker.id, self._foreign_value())
         await self._wait_fault_duration()
         self._write_entry(worker)
 
-    def _choose(self) -> PlatformWorkerStandin | None:
+    def _choose_running_worker(self) -> PlatformWorkerStandin | None:
         free = [
             worker
             for worker in self._workers
--- a/src/hollowrack_standins/engine.py
+++ b/src/hollowrack_standins/engine.py
@@ -221,14 +221,14 @@
 
     async def _metrics(self, request: Request) -> Response:
         del request
-        num_running, num_waiting, num_live = self._delayed_load()
+        num_running, num_waiting, num_live = self._lagged_load()
         return PlainTextResponse(
             f"engine_num_running {num_running}\n"
             f"engine_num_waiting {num_waiting}\n"
             f"engine_num_live {num_live}\n"
         )
 
-    def _delayed_load(self) -> tuple[int, int, int]:
+    def _lagged_load(self) -> tuple[int, int, int]:
         visible_until_s = time.monotonic() - self.core.faults.load_lag_s
         load = (0, 0, 0)
         for at_s, num_running, num_waiting, num_live in self._load_history:
