--- a/src/hollowrack_standins/engine.py
+++ b/src/hollowrack_standins/engine.py
@@ -107,7 +107,7 @@
                 queue = self._queues.get(output.request_id)
                 if queue is not None:
                     queue.put_nowait(output)
-            # Counted from the previous step, so that a sleep that overshoots adds no delay.
+            # The next step is timed from the previous one, so that a late wake-up adds no delay.
             next_step_s = max(next_step_s + self.core.step_duration_s(), now_s)
             await asyncio.sleep(max(0.0, next_step_s - time.monotonic()))
 
