--- a/src/hollowrack_bench/soak_checks.py
+++ b/src/hollowrack_bench/soak_checks.py
@@ -48,7 +48,7 @@
         self._violations = violations
 
     def check_given_up(self, item_id: str, waited_s: float) -> None:
-        """Check that an item was given up after its TTL or its last attempt, or its scorer's.
+        """Check that an item was given up only after its TTL, or its or its scorer's last attempt.
 
         Other reasons cannot occur: workers never reject an item permanently, and the route of a
         step exists until the step has ended.
