--- a/src/hollowrack/coordination/anti_entropy.py
+++ b/src/hollowrack/coordination/anti_entropy.py
@@ -29,7 +29,7 @@
 ROUND_INTERVAL_S = 0.3
 # With two neighbours per round, a change reaches nine nodes within about four rounds.
 FANOUT = 2
-# An answer this fresh shows that the store is reachable again.
+# Maximum age of an answer that shows that the store is reachable again.
 MAX_REACHABLE_STORE_AGE_S = 0.7
 # Neighbours may answer from mirrors of any age.
 ANY_AGE_S = 1e9
--- a/src/hollowrack/coordination/leadership.py
+++ b/src/hollowrack/coordination/leadership.py
@@ -41,7 +41,7 @@
 # the handover.
 STARTUP_WINDOW_S = 3.0
 STARTUP_CAMPAIGN_DELAY_S = 0.8
-# Added in full from a process age of OLD_AGE_S on, proportionally less before.
+# Part of the campaign delay that grows linearly with the process age, up to the age OLD_AGE_S.
 MAX_AGE_CAMPAIGN_DELAY_S = 0.45
 OLD_AGE_S = 20.0
 LAST_SUFFIX = "-last"
@@ -86,7 +86,8 @@
         self._rng = rng
         self._lease: int | None = None
         self._may_act_from_s = float("inf")
-        # Since when there has certainly been no leader, on the loop's clock.
+        # Time from which there has certainly been no leader, on the loop's clock; infinite if
+        # unknown.
         self._free_since_s = float("inf")
         self._start_time_s = 0.0
         self._is_free = asyncio.Event()
--- a/src/hollowrack/coordination/leadership_term.py
+++ b/src/hollowrack/coordination/leadership_term.py
@@ -1,4 +1,4 @@
-"""Detects the start of a new term of leadership of this node."""
+"""Detector of the start of a new term of leadership of this node."""
 
 from hollowrack.clock import now_s
 from hollowrack.coordination.leadership import Leadership
--- a/src/hollowrack/coordination/mirror.py
+++ b/src/hollowrack/coordination/mirror.py
@@ -39,6 +39,7 @@
 MAX_BACKOFF_S = 1.2
 # For mirrors with a sentinel, whose backoff ends early when the store answers again.
 MAX_BACKOFF_WITH_SENTINEL_S = 4.0
+# A watch that is answered later than this after its wait may have missed changes.
 LATE_ANSWER_S = 0.5
 MAX_HISTORY = 512
 # Keys are written by other programs and may be very long.
@@ -203,7 +204,7 @@
             self._record_failure(changes)
             return False
         self._record_answer()
-        # Otherwise newer changes were applied meanwhile, and the answer does not continue them.
+        # If newer changes were applied while the watch waited, its answer is outdated.
         if revision == self.reached_revision:
             self._apply_newer(changes)
         return True
--- a/src/hollowrack/coordination/relay.py
+++ b/src/hollowrack/coordination/relay.py
@@ -38,7 +38,7 @@
 )
 from hollowrack.messages.codec import message
 
-# For this long after a direct call failed, reads are relayed first; then one tries the store again.
+# Time after a failed direct call for which reads are relayed first; then one read probes the store.
 FIRST_RELAY_PERIOD_S = 1.0
 MAX_RELAY_PERIOD_S = 4.0
 # Leaves time to relay a renewal within the lease's 2 s; a slow store answers within 0.25 s.
@@ -129,7 +129,7 @@
     """Sends store calls to other nodes."""
 
     async def relay(self, address: str, call: RelayedCall) -> RelayedOutcome:
-        """Have the node at an address make a call.
+        """Execute a call through the node at an address.
 
         Returns:
             The store's answer; ``NotDone`` if the node could not be reached, ``Unknown`` if it was
--- a/src/hollowrack/coordination/relay_http.py
+++ b/src/hollowrack/coordination/relay_http.py
@@ -74,7 +74,7 @@
         self._session = session
 
     async def relay(self, address: str, call: RelayedCall) -> RelayedOutcome:
-        """Have the node at an address make a call."""
+        """Execute a call through the node at an address."""
         total_s = ANSWER_TIMEOUT_S
         if isinstance(call, RelayedWatch):
             total_s = call.wait_s + WATCH_TIMEOUT_MARGIN_S
--- a/src/hollowrack/coordination/shared_store.py
+++ b/src/hollowrack/coordination/shared_store.py
@@ -39,7 +39,7 @@
 MAX_RELAYED_AGE_S = 1.7
 # Time for which a source that timed out is not asked again, as every timeout delays changes.
 UNRESPONSIVE_SOURCE_RETRY_INTERVAL_S = 1.5
-# The same for a source that answered at once that its mirror is stale.
+# Time for which a source that reported its mirror as stale is not asked again.
 STALE_SOURCE_RETRY_INTERVAL_S = 0.5
 # Limits the load on the store while there is no leader and all followers ask it.
 FOLLOWER_POLL_DELAY_S = 0.4
@@ -73,8 +73,9 @@
         access: Returns how often this node may call the store itself.
 
     Attributes:
-        sentinel_prefix: The prefix whose short watches detect that others hang. Its age counts from
-            its own last answer; the age of other prefixes, from the last answer about any prefix.
+        sentinel_prefix: The prefix whose short watches detect that other watches hang. Its age is
+            the time since its own last answer; the age of any other prefix is the time since the
+            last answer about any prefix.
         source_listeners: Called when the source that answers watches changes.
         recovery_listeners: Called when the store itself answers after it failed or was not asked.
     """
--- a/src/hollowrack/edge_node.py
+++ b/src/hollowrack/edge_node.py
@@ -54,13 +54,14 @@
 LIVE_POLL_INTERVAL_S = 0.2
 LIVE_WATCH_TIMEOUT_S = 5.0
 REGISTER_RETRY_INTERVAL_S = 0.2
-# Announced by a process that is stopping, so that it gets no further jobs.
+# CPU cores announced by a stopping process, so that it is assigned no further jobs.
 NO_CORES = 0.0
 ANNOUNCE_TIMEOUT_S = 0.5
 # Time for callers to switch to other nodes at a planned stop.
 MAX_REFUSE_NEW_S = 3.5
 REFUSE_NEW_FRACTION = 0.45
-# Longer than for callers, as the output of items unfinished at the deadline is lost.
+# Time to drain owned jobs at a planned stop. It exceeds the time for callers, as the output of
+# items unfinished at the deadline is lost.
 MAX_DRAIN_S = 10.0
 DRAIN_FRACTION = 0.65
 MAX_HANDOVER_S = 0.6
@@ -402,7 +403,7 @@
         return NodeEntry(self._address, self._num_cores, self._zone)
 
     async def _load_leader_key(self) -> None:
-        """Read the leader key after the first listing, which reports no absent key."""
+        """Read the leader key after the first listing; the mirror does not report an absent key."""
         await self._live_mirror.is_loaded.wait()
         self.leadership.update_leader_key(self._live_mirror.items.get(LEADER_KEY))
 
--- a/src/hollowrack/messages/idle_connections.py
+++ b/src/hollowrack/messages/idle_connections.py
@@ -1,4 +1,4 @@
-"""Closes the idle connections of an HTTP client to a peer that has stopped responding.
+"""HTTP connector that closes its idle connections to a peer that has stopped responding.
 
 A keep-alive connection can be lost without a FIN or RST, so that a request over it gets no answer
 until its timeout. Other idle connections to the same peer are most likely lost as well, and each
--- a/src/hollowrack/platform/edge_process.py
+++ b/src/hollowrack/platform/edge_process.py
@@ -69,6 +69,10 @@
     Args:
         settings: Settings from the platform's file.
         seed: Seed of the random generator; ``None`` for a random one.
+
+    Attributes:
+        node: The edge node; created by :meth:`start`.
+        stopped: Set after a graceful stop.
     """
 
     def __init__(self, settings: ProcessSettings, seed: int | None = None) -> None:
@@ -233,7 +237,7 @@
             await session.close()
 
     async def _log_store_calls(self) -> None:
-        """Log the number of store calls, which are billed, every ``REPORT_INTERVAL_S`` seconds."""
+        """Log the number of store calls, which are billed, periodically."""
         while True:
             await asyncio.sleep(STORE_CALL_LOG_INTERVAL_S)
             logging.info("store calls so far: %s", dict(self._store.num_calls))
--- a/src/hollowrack/platform/load_report.py
+++ b/src/hollowrack/platform/load_report.py
@@ -34,9 +34,9 @@
         """
         if value is None:
             return None
-        figures = [figure.strip() for figure in value.split(",", MAX_NUM_FIGURES)]
-        if MIN_NUM_FIGURES <= len(figures) <= MAX_NUM_FIGURES and all(map(_is_count, figures)):
-            return LoadReport(int(figures[0]), int(figures[1]))
+        fields = [field.strip() for field in value.split(",", MAX_NUM_FIGURES)]
+        if MIN_NUM_FIGURES <= len(fields) <= MAX_NUM_FIGURES and all(map(_is_count, fields)):
+            return LoadReport(int(fields[0]), int(fields[1]))
         if self.num_malformed % MALFORMED_PER_LOG_LINE == 0:
             logging.warning(
                 "worker %s: malformed %s %r ignored, %d of all workers before it; "
@@ -50,5 +50,5 @@
         return None
 
 
-def _is_count(figure: str) -> bool:
-    return figure.isascii() and figure.isdigit() and len(figure) <= MAX_DIGITS
+def _is_count(field: str) -> bool:
+    return field.isascii() and field.isdigit() and len(field) <= MAX_DIGITS
--- a/src/hollowrack/platform/worker_client.py
+++ b/src/hollowrack/platform/worker_client.py
@@ -268,7 +268,7 @@
 
     async def has_crashed(self, worker: Worker) -> bool:
         """Return whether an incarnation of a worker has ended; see :class:`BackEndClient`."""
-        # A report identifies the incarnation; a connection only shows that something listens.
+        # A report identifies the incarnation; an open port may belong to another process.
         if worker.started_ms:
             report = await self.report(worker)
             if report is not None:
--- a/src/hollowrack/settings/example.py
+++ b/src/hollowrack/settings/example.py
@@ -1,4 +1,4 @@
-"""Generates the example settings file, with comments, from the settings model."""
+"""Generator of the example settings file, with comments, from the settings model."""
 
 from typing import Any, get_args, get_origin
 
--- a/src/hollowrack/settings/load.py
+++ b/src/hollowrack/settings/load.py
@@ -1,4 +1,4 @@
-"""Loads and validates the settings of a node.
+"""Loader and validator of the settings of a node.
 
 Precedence, highest first: command-line options, environment variables, the settings file.
 """
