--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,9 +1,10 @@
 """Suspended machines: an expired lease appears valid, or timers do not fire, after a resume."""
 
 import asyncio
+import logging as standard_logging
 import random
 import time
-from collections.abc import Coroutine
+from collections.abc import Coroutine, Iterator
 from typing import Any
 
 import pytest
@@ -106,6 +107,19 @@
     assert reported == pytest.approx([3.0, 7.0], abs=0.05)
 
 
+@pytest.fixture
+def root_handlers() -> Iterator[None]:
+    """Remove the log handlers that a program installs; they would write into later tests."""
+    root = standard_logging.getLogger()
+    before = root.handlers[:]
+    yield
+    for handler in root.handlers:
+        if isinstance(handler, logs.BoundedLogHandler):
+            handler.stop()
+    root.handlers = before
+
+
+@pytest.mark.usefixtures("root_handlers")
 def test_edge_process_runs_on_boot_time_loop(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
