--- a/src/hollowrack/capacity/planner.py
+++ b/src/hollowrack/capacity/planner.py
@@ -17,7 +17,7 @@
     found = Counter((worker.service, worker.zone) for worker in workers)
     return CapacityPlan(
         tuple(
-            ZoneCapacity(service.name, zone, _within(service.scaling, found[(service.name, zone)]))
+            ZoneCapacity(service.name, zone, _clamp(service.scaling, found[(service.name, zone)]))
             for service in services
             if service.scaling is not None
             for zone in sorted(service.scaling.zone_prices)
@@ -26,7 +26,7 @@
     )
 
 
-def _within(limits: ScalingLimits, num_workers: int) -> int:
+def _clamp(limits: ScalingLimits, num_workers: int) -> int:
     return min(limits.max_workers, max(limits.min_workers, num_workers))
 
 
--- a/src/hollowrack/jobs/cached_item_order.py
+++ b/src/hollowrack/jobs/cached_item_order.py
@@ -21,7 +21,7 @@
     Args:
         job: The job.
         services: Shared components of the item runners.
-        schedule: Deadline of the job.
+        schedule: Determines the deadline of the job.
         open_runners: Returns the runners of its unlisted items by item identifier.
     """
 
--- a/src/hollowrack/jobs/host_role.py
+++ b/src/hollowrack/jobs/host_role.py
@@ -64,7 +64,7 @@
         num_hosts: Desired number of hosts of a zone.
     """
     others = _others_in_zone(node, own, hosts)
-    as_large = [entry for entry in others.values() if entry.num_cores >= _as_large(own)]
+    as_large = [entry for entry in others.values() if entry.num_cores >= _min_cores_as_large(own)]
     return len(as_large) < num_hosts
 
 
@@ -82,7 +82,7 @@
         owner
         for owner, entry in others.items()
         if entry.num_cores * LARGE_NODE_FRACTION > own.num_cores
-        or (entry.num_cores >= _as_large(own) and node_of_owner(owner) < node)
+        or (entry.num_cores >= _min_cores_as_large(own) and node_of_owner(owner) < node)
     ]
     return len(preceding) >= num_hosts
 
@@ -98,7 +98,7 @@
     }
 
 
-def _as_large(own: NodeEntry) -> float:
+def _min_cores_as_large(own: NodeEntry) -> float:
     return LARGE_NODE_FRACTION * own.num_cores
 
 
--- a/src/hollowrack/jobs/item_migration_policy.py
+++ b/src/hollowrack/jobs/item_migration_policy.py
@@ -48,7 +48,7 @@
         """Wait for a slot at a worker that finishes the item earlier by ``MIN_SAVED_S`` or more."""
 
         def is_faster(other: Worker) -> bool:
-            return self._has_as_new_weights(other, worker) and self._saves_enough(
+            return self._has_no_older_weights(other, worker) and self._saves_enough(
                 worker, other, num_events
             )
 
@@ -59,7 +59,7 @@
         num_events_left = self._lengths.num_events_left(self._expected_tokens, num_events)
         return self._workers.time_saved_s(worker, other, num_events_left) >= MIN_SAVED_S
 
-    def _has_as_new_weights(self, other: Worker, worker: Worker) -> bool:
-        """Whether the other worker's weights are as new: an item must not return to older ones."""
+    def _has_no_older_weights(self, other: Worker, worker: Worker) -> bool:
+        """Whether the other worker's weights are at least as new as those of the present one."""
         version = worker.model_versions.get(self._model, 0)
         return other.model_versions.get(self._model, 0) >= version
--- a/src/hollowrack/jobs/job_runner.py
+++ b/src/hollowrack/jobs/job_runner.py
@@ -127,7 +127,7 @@
                     elif not await self._list_finished():
                         return
         except Exception:
-            logging.exception("job %s stopped on this node by an unexpected error", self.job.id)
+            logging.exception("job %s: stopped on this node by an unexpected error", self.job.id)
         finally:
             self._saver_task.cancel()
             for task in self._item_tasks.values():
@@ -294,7 +294,7 @@
             self._item_tasks[item_id].cancel()
         self._update_results(listed)
         if owner is not None and owner != self._log.owner:
-            logging.warning("job %s is now owned by %s; stopping it here", self.job.id, owner)
+            logging.warning("job %s: now owned by %s, stopped on this node", self.job.id, owner)
             return False
         return True
 
--- a/src/hollowrack/jobs/open_work.py
+++ b/src/hollowrack/jobs/open_work.py
@@ -27,7 +27,7 @@
 
     Args:
         job: The job.
-        schedule: Deadline of the job.
+        schedule: Determines the deadline of the job.
         runners: Runners of its unfinished items.
         service: Name of the service.
         incarnation_positions: Position of each worker incarnation in the slot report, by its text
--- a/src/hollowrack/jobs/retention.py
+++ b/src/hollowrack/jobs/retention.py
@@ -34,7 +34,7 @@
         self._log = log
         self._live = live
         self._leadership = leadership
-        self._keep_s = retention_s
+        self._retention_s = retention_s
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -55,11 +55,13 @@
         due = [
             job_id
             for job_id, received_s in self._live.ended_jobs.items()
-            if now_s() - received_s > self._keep_s
+            if now_s() - received_s > self._retention_s
         ]
         for job_id in due[:MAX_REMOVED_PER_POLL]:
             if not await self._log.remove(job_id):
                 return
             logging.info(
-                "job %s: removed from the store, ended more than %g s ago", job_id, self._keep_s
+                "job %s: removed from the store, ended more than %g s ago",
+                job_id,
+                self._retention_s,
             )
--- a/src/hollowrack/usage/replicator.py
+++ b/src/hollowrack/usage/replicator.py
@@ -94,7 +94,7 @@
         # A new target gets all counts, including those of processes that may have ended.
         is_new = num_pushed is None
         counts = self._counts.all() if is_new else (self._counts.of(self._process),)
-        counts = tuple(one for one in counts if one.windows)
+        counts = tuple(entry for entry in counts if entry.windows)
         if counts and not await self._peers.push(address, PushedCounts(counts)):
             self._retry_from_s[process] = now_s() + RETRY_INTERVAL_S
             return
--- a/src/hollowrack/usage/reporter.py
+++ b/src/hollowrack/usage/reporter.py
@@ -102,7 +102,7 @@
         if self._time_s() < (window + 1) * self._window_s + WINDOW_GRACE_S:
             return
         report = WindowReport(window, self._counts.totals(window))
-        undelivered = [one for one in decided.reports if one.window not in self._delivered]
+        undelivered = [entry for entry in decided.reports if entry.window not in self._delivered]
         updated = DecidedUsage(window + 1, (*undelivered[1 - MAX_PENDING_REPORTS :], report))
         is_decided = await self._record.replace(updated)
         logging.info(
--- a/src/hollowrack/usage/wall_clock.py
+++ b/src/hollowrack/usage/wall_clock.py
@@ -18,26 +18,28 @@
 
     Args:
         time_of_day_s: Returns the machine's time of day, in seconds since 1970.
-        steady_s: Returns the machine's monotonic clock, in seconds.
+        monotonic_s: Returns the machine's monotonic clock, in seconds.
     """
 
-    def __init__(self, time_of_day_s: Callable[[], float], steady_s: Callable[[], float]) -> None:
+    def __init__(
+        self, time_of_day_s: Callable[[], float], monotonic_s: Callable[[], float]
+    ) -> None:
         self._time_of_day_s = time_of_day_s
-        self._steady_s = steady_s
-        self._offset_s = time_of_day_s() - steady_s()
+        self._monotonic_s = monotonic_s
+        self._offset_s = time_of_day_s() - monotonic_s()
         # Start of the current jump, on the monotonic clock.
         self._jump_since_s: float | None = None
 
     def time_s(self) -> float:
         """Return the time of day, in seconds since 1970."""
-        steady_s = self._steady_s()
-        offset_s = self._time_of_day_s() - steady_s
+        monotonic_s = self._monotonic_s()
+        offset_s = self._time_of_day_s() - monotonic_s
         if abs(offset_s - self._offset_s) <= MAX_STEP_S:
             self._offset_s = offset_s
             self._jump_since_s = None
         elif self._jump_since_s is None:
-            self._jump_since_s = steady_s
-        elif steady_s - self._jump_since_s >= MAX_JUMP_DURATION_S:
+            self._jump_since_s = monotonic_s
+        elif monotonic_s - self._jump_since_s >= MAX_JUMP_DURATION_S:
             self._offset_s = offset_s
             self._jump_since_s = None
-        return steady_s + self._offset_s
+        return monotonic_s + self._offset_s
--- a/src/hollowrack/weights/plan.py
+++ b/src/hollowrack/weights/plan.py
@@ -164,12 +164,12 @@
             held_versions.get((holder.incarnation, model), 0) >= target_versions[model]
             for holder in plan.holders[model]
         )
-        may_move = not can_serve or (
+        may_load = not can_serve or (
             model in ready_models
             and num_loading_by_model[model] < max(1, num_holders // 2)
             and num_ahead < plan.num_wanted(model)
         )
-        if worker.incarnation in busy or not may_move:
+        if worker.incarnation in busy or not may_load:
             continue
         busy.add(worker.incarnation)
         num_loading_by_model[model] += 1
--- a/src/hollowrack/weights/version_reconciler.py
+++ b/src/hollowrack/weights/version_reconciler.py
@@ -126,10 +126,10 @@
         self._target_versions = target_versions
         self._client = client
         self._confirmed: dict[tuple[WorkerIncarnation, str], int] = {}
-        self._moves: dict[WorkerIncarnation, asyncio.Task[None]] = {}
+        self._load_tasks: dict[WorkerIncarnation, asyncio.Task[None]] = {}
         self._loading: dict[WorkerIncarnation, str] = {}
         self._load_durations_s: deque[float] = deque(maxlen=NUM_RECENT_LOADS)
-        self._move_ended = asyncio.Event()
+        self._load_ended = asyncio.Event()
         self._ready_from_s: dict[tuple[str, int], float] = {}
         self._task: asyncio.Task[None] | None = None
 
@@ -139,7 +139,7 @@
 
     async def stop(self) -> None:
         """Stop sending orders and waiting for loads."""
-        await cancel_all(self._task, *self._moves.values())
+        await cancel_all(self._task, *self._load_tasks.values())
 
     async def _run(self) -> None:
         while True:
@@ -148,11 +148,11 @@
                 self._reconcile()
 
     async def _wait_for_next_poll(self) -> None:
-        """Wait for the poll interval, or until a move has ended so that the next may start."""
-        self._move_ended.clear()
+        """Wait for the poll interval, or until a load has ended so that the next may start."""
+        self._load_ended.clear()
         try:
             async with asyncio.timeout(POLL_INTERVAL_S):
-                await self._move_ended.wait()
+                await self._load_ended.wait()
         except TimeoutError:
             return
 
@@ -173,13 +173,13 @@
             for move in next_moves(
                 target_versions, ready, plan, held, self._loading, max_concurrent
             ):
-                self._start_move(move)
+                self._start_load(move)
 
-    def _start_move(self, move: VersionMove) -> None:
+    def _start_load(self, move: VersionMove) -> None:
         task = asyncio.create_task(self._execute(move))
-        self._moves[move.worker.incarnation] = task
+        self._load_tasks[move.worker.incarnation] = task
         self._loading[move.worker.incarnation] = move.model
-        task.add_done_callback(partial(self._remove_move, move.worker.incarnation))
+        task.add_done_callback(partial(self._remove_load, move.worker.incarnation))
 
     def _is_ready(self, model: str) -> bool:
         """Whether the newest version was announced at least ``LOAD_DELAY_S`` ago.
@@ -190,20 +190,20 @@
         key = (model, self._target_versions[model])
         return now_s() >= self._ready_from_s.setdefault(key, now_s() + LOAD_DELAY_S)
 
-    def _remove_move(self, incarnation: WorkerIncarnation, _: asyncio.Task[None]) -> None:
-        self._moves.pop(incarnation, None)
+    def _remove_load(self, incarnation: WorkerIncarnation, _: asyncio.Task[None]) -> None:
+        self._load_tasks.pop(incarnation, None)
         self._loading.pop(incarnation, None)
-        self._move_ended.set()
+        self._load_ended.set()
 
     def _remove_ended_incarnations(self) -> None:
         """Remove ended incarnations, so that their loads do not count as concurrent loads."""
-        for incarnation in list(self._moves):
+        for incarnation in list(self._load_tasks):
             if self._has_restarted(incarnation):
                 logging.info(
                     "worker %s: load abandoned, the worker has restarted",
                     incarnation,
                 )
-                self._moves.pop(incarnation).cancel()
+                self._load_tasks.pop(incarnation).cancel()
                 self._loading.pop(incarnation, None)
         for incarnation, model in list(self._confirmed):
             if not self._workers.is_current(incarnation):
