--- a/src/hollowrack/coordination/leadership.py
+++ b/src/hollowrack/coordination/leadership.py
@@ -41,9 +41,10 @@
 # the handover.
 STARTUP_WINDOW_S = 3.0
 STARTUP_CAMPAIGN_DELAY_S = 0.8
-# Part of the campaign delay that grows linearly with the process age, up to the age OLD_AGE_S.
+# Part of the campaign delay that grows linearly with the process age, up to the age
+# MAX_DELAY_PROCESS_AGE_S.
 MAX_AGE_CAMPAIGN_DELAY_S = 0.45
-OLD_AGE_S = 20.0
+MAX_DELAY_PROCESS_AGE_S = 20.0
 LAST_SUFFIX = "-last"
 
 
@@ -187,7 +188,9 @@
         make the most stable leaders. Only the last leader campaigns earlier.
         """
         age_s = now_s() - self._start_time_s
-        delay_s = MIN_CAMPAIGN_DELAY_S + MAX_AGE_CAMPAIGN_DELAY_S * min(1.0, age_s / OLD_AGE_S)
+        delay_s = MIN_CAMPAIGN_DELAY_S + MAX_AGE_CAMPAIGN_DELAY_S * min(
+            1.0, age_s / MAX_DELAY_PROCESS_AGE_S
+        )
         is_starting = self._last_leader is not None and age_s < STARTUP_WINDOW_S
         return delay_s + STARTUP_CAMPAIGN_DELAY_S if is_starting else delay_s
 
--- a/src/hollowrack/forwarding/worker_event_intervals.py
+++ b/src/hollowrack/forwarding/worker_event_intervals.py
@@ -21,7 +21,7 @@
 # Smaller factors are treated as noise.
 MIN_SLOWNESS = 1.3
 # Slowness from which on runs leave a worker.
-MUCH_SLOWER = 2.5
+MUCH_SLOWER_THRESHOLD = 2.5
 # Time constant of the decay of the slowness used to place runs.
 PLACEMENT_DECAY_TIME_S = 30.0
 # Smaller factors are treated as noise when runs are placed.
@@ -81,7 +81,7 @@
 
     def is_much_slower(self, worker: Worker) -> bool:
         """Whether a worker has recently been much slower than the fastest of its service."""
-        return self._slowness(worker, SLOWNESS_DECAY_TIME_S, MIN_SLOWNESS) >= MUCH_SLOWER
+        return self._slowness(worker, SLOWNESS_DECAY_TIME_S, MIN_SLOWNESS) >= MUCH_SLOWER_THRESHOLD
 
     def placement_slowness(self, worker: Worker) -> float:
         """Return a worker's interval as a multiple of the best of its service."""
--- a/src/hollowrack/node_core.py
+++ b/src/hollowrack/node_core.py
@@ -43,7 +43,7 @@
 from hollowrack.replication.repair import GroupRepair
 from hollowrack.requests.answer_store import AnswerStore
 from hollowrack.requests.at_most_once import AtMostOnceRunner, AttemptStatusRequest
-from hollowrack.requests.gateway import Gateway, GatewayParts
+from hollowrack.requests.gateway import Gateway, GatewayDependencies
 from hollowrack.requests.generation import GenerationRunner
 from hollowrack.requests.replicated_answers import FindAnswer, ReplicatedAnswers, StoreAnswer
 from hollowrack.requests.retry_budget import RetryBudget
@@ -66,7 +66,7 @@
     PlaceRequest,
 )
 from hollowrack.routing.fleet import FleetView
-from hollowrack.routing.local_placer import LocalPlacer, PlacerParts
+from hollowrack.routing.local_placer import LocalPlacer, PlacerDependencies
 from hollowrack.routing.observer import FleetObserver
 from hollowrack.settings.model import Limits
 from hollowrack.tasks import cancel_all
@@ -232,7 +232,7 @@
         self.groups = GroupClient(self.host, self.membership, directory, self.repair, placement_of)
 
     def _build_placement(self) -> None:
-        parts = PlacerParts(
+        parts = PlacerDependencies(
             self.identity.node, self.fleet, self._dependencies.chooser, self.decisions, self._rng
         )
         max_requests = self._limits.max_requests
@@ -259,7 +259,7 @@
             self.identity.node, self.membership, AnswerStore(self._limits.max_answers)
         )
         self.gateway = Gateway(
-            GatewayParts(
+            GatewayDependencies(
                 self.identity.zone, self.generations, services, self.at_most_once, self.answers
             ),
             self._limits.max_requests,
--- a/src/hollowrack/platform/load_report.py
+++ b/src/hollowrack/platform/load_report.py
@@ -7,8 +7,8 @@
 
 # Running requests, waiting requests, slots and, optionally, the current throughput. Only the first
 # two are used: entries of workers state the slots, and the throughput is soon outdated.
-MIN_NUM_FIGURES = 3
-MAX_NUM_FIGURES = 4
+MIN_NUM_FIELDS = 3
+MAX_NUM_FIELDS = 4
 # More digits than any possible number of requests, which connections limit.
 MAX_DIGITS = 6
 # One log line is written per this many malformed reports of all workers.
@@ -34,8 +34,8 @@
         """
         if value is None:
             return None
-        fields = [field.strip() for field in value.split(",", MAX_NUM_FIGURES)]
-        if MIN_NUM_FIGURES <= len(fields) <= MAX_NUM_FIGURES and all(map(_is_count, fields)):
+        fields = [field.strip() for field in value.split(",", MAX_NUM_FIELDS)]
+        if MIN_NUM_FIELDS <= len(fields) <= MAX_NUM_FIELDS and all(map(_is_count, fields)):
             return LoadReport(int(fields[0]), int(fields[1]))
         if self.num_malformed % MALFORMED_PER_LOG_LINE == 0:
             logging.warning(
--- a/src/hollowrack/platform/worker_client.py
+++ b/src/hollowrack/platform/worker_client.py
@@ -298,8 +298,8 @@
         """Send a version order to a worker."""
         body = {
             "op": "version",
-            "model": order.move.model,
-            "version": order.move.version,
+            "model": order.load.model,
+            "version": order.load.version,
             "method": ORDER_METHOD,
             "holder": order.holder,
             "fence": order.fencing_token,
@@ -307,7 +307,7 @@
         }
         try:
             status, _ = await self._exchange(
-                order.move.worker, "POST", names.ORDER_PATH, ORDER_TIMEOUT_S, body
+                order.load.worker, "POST", names.ORDER_PATH, ORDER_TIMEOUT_S, body
             )
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError, RecursionError):
             return OrderOutcome.UNKNOWN
--- a/src/hollowrack/requests/gateway.py
+++ b/src/hollowrack/requests/gateway.py
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True)
-class GatewayParts:
+class GatewayDependencies:
     """Components that a gateway uses.
 
     Attributes:
@@ -105,7 +105,7 @@
         num_in_progress: Number of requests in progress.
     """
 
-    def __init__(self, parts: GatewayParts, max_requests: int) -> None:
+    def __init__(self, parts: GatewayDependencies, max_requests: int) -> None:
         self._parts = parts
         self._max_requests = max_requests
         self.bundle: Bundle | None = None
--- a/src/hollowrack/routing/broker.py
+++ b/src/hollowrack/routing/broker.py
@@ -19,7 +19,7 @@
 from hollowrack.membership.swim import MembershipChange
 from hollowrack.messages.codec import message
 from hollowrack.results import Problem, ResultCode, result_of, value_or_raise
-from hollowrack.routing.local_placer import LocalPlacer, PlacerParts
+from hollowrack.routing.local_placer import LocalPlacer, PlacerDependencies
 from hollowrack.routing.placement import Placement, PlacementOutcome, PlacementRequest
 from hollowrack.routing.types import BackEndKind, BackEndStatus, Priority, RouteRequest
 from hollowrack.tasks import cancel_all
@@ -113,7 +113,7 @@
 
     def __init__(
         self,
-        parts: PlacerParts,
+        parts: PlacerDependencies,
         membership: MembershipService,
         make_admission: Callable[[str], AdmissionController],
     ) -> None:
@@ -219,7 +219,7 @@
 
     def __init__(
         self,
-        parts: PlacerParts,
+        parts: PlacerDependencies,
         membership: MembershipService,
         broker: PlacementBroker,
         fallback: LocalPlacer,
--- a/src/hollowrack/routing/local_placer.py
+++ b/src/hollowrack/routing/local_placer.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class PlacerParts:
+class PlacerDependencies:
     """Dependencies of placement.
 
     Attributes:
@@ -45,7 +45,7 @@
 
     _numbers = itertools.count(1)
 
-    def __init__(self, parts: PlacerParts, admission: AdmissionController | None) -> None:
+    def __init__(self, parts: PlacerDependencies, admission: AdmissionController | None) -> None:
         self._parts = parts
         self._admission = admission
         self._tickets: dict[str, Ticket] = {}
--- a/src/hollowrack/weights/plan.py
+++ b/src/hollowrack/weights/plan.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class VersionMove:
+class VersionLoad:
     """A load to start: the worker is to load this version of the model."""
 
     worker: Worker
@@ -46,7 +46,7 @@
     holders: Mapping[str, tuple[Worker, ...]]
     skips_versions: bool
 
-    def num_wanted(self, model: str) -> int:
+    def num_holders_to_load(self, model: str) -> int:
         """Return how many holders of a model should load its newest version."""
         num_holders = len(self.holders.get(model, ()))
         return ceil(num_holders / NUM_STEPS_SERVED) if self.skips_versions else num_holders
@@ -130,14 +130,14 @@
     return sorted(current, key=lambda worker: (-versions[worker.incarnation], worker.incarnation))
 
 
-def next_moves(
+def next_loads(
     target_versions: Mapping[str, int],
     ready_models: Collection[str],
     plan: LoadPlan,
     held_versions: HeldVersions,
     loading: Mapping[WorkerIncarnation, str],
     max_concurrent: int = MIN_CONCURRENT_LOADS,
-) -> list[VersionMove]:
+) -> list[VersionLoad]:
     """Return the loads to start now.
 
     A worker with the version before the announced one may still serve the step in progress, and it
@@ -153,7 +153,7 @@
         loading: The model being loaded, by incarnation of the worker.
         max_concurrent: Maximum number of workers that load at the same time.
     """
-    moves: list[VersionMove] = []
+    moves: list[VersionLoad] = []
     busy = set(loading)
     num_loading_by_model = Counter(loading.values())
     for can_serve, model, worker in _outdated_workers(target_versions, plan.holders, held_versions):
@@ -167,13 +167,13 @@
         may_load = not can_serve or (
             model in ready_models
             and num_loading_by_model[model] < max(1, num_holders // 2)
-            and num_ahead < plan.num_wanted(model)
+            and num_ahead < plan.num_holders_to_load(model)
         )
         if worker.incarnation in busy or not may_load:
             continue
         busy.add(worker.incarnation)
         num_loading_by_model[model] += 1
-        moves.append(VersionMove(worker, model, target_versions[model]))
+        moves.append(VersionLoad(worker, model, target_versions[model]))
     return moves
 
 
--- a/src/hollowrack/weights/version_reconciler.py
+++ b/src/hollowrack/weights/version_reconciler.py
@@ -22,9 +22,9 @@
 from hollowrack.forwarding.workers import WorkerDirectory
 from hollowrack.tasks import cancel_all
 from hollowrack.weights.plan import (
-    VersionMove,
+    VersionLoad,
     max_concurrent_loads,
-    next_moves,
+    next_loads,
     plan_loads,
 )
 
@@ -76,13 +76,13 @@
     """An order to a worker.
 
     Attributes:
-        move: The worker and the version to load.
+        load: The worker and the version to load.
         holder: Name of the leader, which sends the order.
         fencing_token: The leader's fencing token; it increases with every change of leader.
         num_orders: Number of accepted orders that the worker must report for this one to apply.
     """
 
-    move: VersionMove
+    load: VersionLoad
     holder: str
     fencing_token: int
     num_orders: int
@@ -170,12 +170,12 @@
                 if model in self._target_versions
             }
             max_concurrent = max_concurrent_loads(len(workers))
-            for move in next_moves(
+            for move in next_loads(
                 target_versions, ready, plan, held, self._loading, max_concurrent
             ):
                 self._start_load(move)
 
-    def _start_load(self, move: VersionMove) -> None:
+    def _start_load(self, move: VersionLoad) -> None:
         task = asyncio.create_task(self._execute(move))
         self._load_tasks[move.worker.incarnation] = task
         self._loading[move.worker.incarnation] = move.model
@@ -218,7 +218,7 @@
         for worker in self._workers.all():
             self._confirm_all(worker, worker.model_versions)
 
-    async def _execute(self, move: VersionMove) -> None:
+    async def _execute(self, move: VersionLoad) -> None:
         report = await self._report(move.worker)
         if report is None:
             await asyncio.sleep(RETRY_INTERVAL_S)
@@ -236,7 +236,7 @@
         else:
             await asyncio.sleep(RETRY_INTERVAL_S)
 
-    async def _send_order(self, move: VersionMove, num_orders: int) -> OrderOutcome:
+    async def _send_order(self, move: VersionLoad, num_orders: int) -> OrderOutcome:
         token = self._leadership.fencing_token
         if token is None or not self._leadership.may_act:
             return OrderOutcome.REFUSED
@@ -255,7 +255,7 @@
         """Duration of the shortest recent load, in seconds."""
         return min(self._load_durations_s, default=INITIAL_LOAD_DURATION_S)
 
-    async def _wait_until_loaded(self, move: VersionMove) -> None:
+    async def _wait_until_loaded(self, move: VersionLoad) -> None:
         """Wait for the end of a load that has just begun, and record its duration."""
         sent_s = now_s()
         await asyncio.sleep(FIRST_POLL_FRACTION * self._expected_load_duration_s())
--- a/src/hollowrack_standins/back_ends.py
+++ b/src/hollowrack_standins/back_ends.py
@@ -62,7 +62,8 @@
         num_events_of: Number of events of a stream, by request identifier.
         priorities: Priority received with each request, by request identifier.
         executions: Number of executions started, by request identifier.
-        ran_at: Identifiers of the workers that started to run each request, in order.
+        worker_ids_by_request: Identifiers of the workers that started to run each request, in
+            order.
         resumed_after_events: Number of the event after which each execution in ``ran_at`` resumed,
             by request identifier; 0 for one from the start.
         running: Number of running requests, by worker identifier.
@@ -80,7 +81,7 @@
     num_events_of: dict[str, int] = field(default_factory=dict)
     priorities: dict[str, int | None] = field(default_factory=dict)
     executions: Counter[str] = field(default_factory=Counter)
-    ran_at: dict[str, list[str]] = field(default_factory=dict)
+    worker_ids_by_request: dict[str, list[str]] = field(default_factory=dict)
     resumed_after_events: dict[str, list[int]] = field(default_factory=dict)
     running: Counter[str] = field(default_factory=Counter)
     remaining_times_s: list[float] = field(default_factory=list)
@@ -112,7 +113,7 @@
             raise NotRunError(behaviour.refusal)
         self.executions[call.request_id] += 1
         self.priorities[call.request_id] = call.priority
-        self.ran_at.setdefault(call.request_id, []).append(worker.id)
+        self.worker_ids_by_request.setdefault(call.request_id, []).append(worker.id)
         self.resumed_after_events.setdefault(call.request_id, []).append(after_event or 0)
         self.remaining_times_s.append(time_left_s)
         self.running[worker.id] += 1
