--- a/src/hollowrack_bench/capacity_page.py
+++ b/src/hollowrack_bench/capacity_page.py
@@ -164,7 +164,7 @@
             f"{2 * NUM_ZONES} reads a second; one write a bundle or membership change",
             "-",
             "-",
-            "`platform/config_store.py`, create-only keys",
+            "`clients/config_store.py`, create-only keys",
             "counted from the code, not measured",
         ),
     ]
@@ -268,6 +268,6 @@
 - **Job owner**: a step of 62 items took some 18 writes, listings and progress together. Fits.
 - **Job owner, processor**: one node runs all items of a model. Not measured at 512 samples; the
   most loaded edge had 0.10 of a core with 62 items a step of 4 s.
-- **Order giver**: two workers in five load at a time, 240 of 600; three rounds of about a second
+- **Version reconciler**: two workers in five load at a time, 240 of 600; three rounds of about a second
   for each version. Fits by that count; the users' sheets bear it out up to 22 workers only.
 """
